--- a/src/coppercleat/quarantine/_ends.py
+++ b/src/coppercleat/quarantine/_crashes.py
@@ -13,7 +13,7 @@
 connections break within milliseconds, and a start takes longer."""
 
 
-SHORTEST_LIFE_S = 0.1
+MIN_UPTIME_S = 0.1
 """No upstream starts and ends within this time."""
 
 
@@ -39,7 +39,7 @@
     weak: bool = False
     source: str = attrs.field(default="", eq=False)
 
-    def was_seen_as(self, known: End, *, run_began: float) -> bool:
+    def is_duplicate_observation(self, known: End, *, run_began: float) -> bool:
         """Returns whether this end, seen here, is one that is known already.
 
         Args:
@@ -47,32 +47,35 @@
           run_began: When the run that met it began: what began before an end ends by
             it, however late that is noticed.
         """
-        began_before = self._may_be(known) and run_began <= known.at
-        return began_before or self.coincides(known) or self._is_near(known)
+        began_before = self._may_be_same_incarnation(known) and run_began <= known.at
+        return began_before or self.coincides_with(known) or self._is_too_close(known)
 
-    def coincides(self, other: End) -> bool:
+    def coincides_with(self, other: End) -> bool:
         """Returns whether both ends came about at one time, to one upstream."""
-        return self._may_be(other) and abs(self.at - other.at) < SAME_END_S
+        return (
+            self._may_be_same_incarnation(other)
+            and abs(self.at - other.at) < SAME_END_S
+        )
 
-    def was_told_as(self, known: End) -> bool:
+    def is_duplicate_report(self, known: End) -> bool:
         """Returns whether this end, told by another instance, is known already.
 
         Its time tells nothing: an end is told by its age, and each word of it that lies
         unread, or waits for a link, places it later.
         """
-        return (self._may_be(known) and self.number == known.number) or self._is_near(
-            known
-        )
+        return (
+            self._may_be_same_incarnation(known) and self.number == known.number
+        ) or self._is_too_close(known)
 
-    def _is_near(self, known: End) -> bool:
+    def _is_too_close(self, known: End) -> bool:
         """Returns whether it is of this upstream, and too near for another life.
 
         The list may lag at one of two instances, so that they tell two births.
         """
-        near = abs(self.at - known.at) < SHORTEST_LIFE_S
+        near = abs(self.at - known.at) < MIN_UPTIME_S
         return near and self.upstream == known.upstream
 
-    def _may_be(self, known: End) -> bool:
+    def _may_be_same_incarnation(self, known: End) -> bool:
         """Returns whether it is of this upstream, and not of another of its lives."""
         births = {self.born_ms, known.born_ms} - {0}
         return self.upstream == known.upstream and len(births) < 2
@@ -113,7 +116,7 @@
             end.weak,
         )
 
-    def heard(self, *, now: float, teller: str = "") -> End:
+    def to_crash(self, *, now: float, sender: str = "") -> End:
         """Returns the end by the clock of who hears of it now."""
         return End(
             self.upstream,
@@ -121,7 +124,7 @@
             self.born_ms,
             self.number,
             self.weak,
-            source=f"told by {teller}",
+            source=f"told by {sender}",
         )
 
 
--- a/src/coppercleat/quarantine/_end_watch.py
+++ b/src/coppercleat/quarantine/_detector.py
@@ -17,9 +17,9 @@
 
 from coppercleat.ids import UpstreamId
 from coppercleat.observability import part_logger
-from coppercleat.quarantine._ends import SAME_END_S, End, ToldEnd
+from coppercleat.quarantine._crashes import SAME_END_S, End, ToldEnd
 from coppercleat.quarantine._fingerprint import Fingerprint, shown
-from coppercleat.quarantine._ledger import (
+from coppercleat.quarantine._history import (
     FREE,
     HELD_RETRY_S,
     ITEM_PAUSES_S,
@@ -29,31 +29,31 @@
     Verdict,
 )
 
-LOOK_PAUSES_S = (0.0, 0.05, 0.1, 0.2, 0.4, 0.8, 1.0, 1.0, 1.0)
+PROBE_DELAYS_S = (0.0, 0.05, 0.1, 0.2, 0.4, 0.8, 1.0, 1.0, 1.0)
 """Pauses before each question. The first finds most; the later ones tell a link that
 refuses for a moment from an upstream that has ended. A question takes 2 ms of network
 and 1 ms of processor time, and comes with a broken connection only."""
 
-MOVED_ON_S = 0.3
+PROGRESS_EVIDENCE_S = 0.3
 """A run that made something for so long speaks for the request: most that end their
 upstreams do so at once."""
 
-AT_ONCE_S = 0.05
+IMMEDIATE_S = 0.05
 """A run that broke off so soon was hardly begun by its upstream."""
 
-LEFT_S = 1.0
+ABANDONED_WINDOW_S = 1.0
 """A run that its client left is as suspect if its upstream ends within this time: most
 upstreams end such a run at once, and what it had begun may end them all the same."""
 
-REPEAT_S = 0.5
-REPEATS = 2
+UPDATE_REPEAT_S = 0.5
+UPDATE_REPEATS = 2
 """Ends are told again so often, since a link may be silent; a silent one is opened anew
 within a second. Who could not be reached for longer gets all when it is heard again."""
 
-_MOST_LOGGED = 6
+_MAX_LOGGED_CRASHES = 6
 """Ends that one line tells, the last ones."""
 
-_MOST_LEFT = 256
+_MAX_ABANDONED = 256
 """Runs that were left and are remembered for a second."""
 
 _log = part_logger("quarantine")
@@ -123,68 +123,70 @@
 
 _W = TypeVar("_W", bound=Watched)
 
-_PROOFS = frozenset({Finding.NOTHING_LISTENS, Finding.OTHER_LIFE})
-_FINAL = frozenset({Finding.OTHER_LIFE, Finding.SAME_LIFE, Finding.SOMETHING_LISTENS})
+_CRASH_PROOFS = frozenset({Finding.NOTHING_LISTENS, Finding.OTHER_LIFE})
+_FINAL_RESULTS = frozenset(
+    {Finding.OTHER_LIFE, Finding.SAME_LIFE, Finding.SOMETHING_LISTENS}
+)
 """Nothing listens also where a link refuses for a moment: it is asked again."""
 
 
 @attrs.frozen
-class _BrokenRun:
+class _InterruptedAttempt:
     """A run that broke off, or was left.
 
     Attributes:
       began: When it was sent to the upstream.
       at: When it broke off.
-      moved_on: Whether it made something for a while.
+      made_progress: Whether it made something for a while.
     """
 
     began: float
     at: float
-    moved_on: bool = False
+    made_progress: bool = False
 
     @property
-    def at_once(self) -> bool:
+    def is_immediate(self) -> bool:
         """Whether it was hardly begun by its upstream."""
-        return self.at - self.began < AT_ONCE_S
+        return self.at - self.began < IMMEDIATE_S
 
 
 @attrs.define(eq=False)
-class _Inquiry(Generic[_W]):
+class _Investigation(Generic[_W]):
     """What is asked of one life of an upstream.
 
     Attributes:
       suspects: Whose run broke off there.
-      later: Whose run began after those had broken off, and broke off, too.
-      found_ended: Whether it is taken to have ended.
+      late_suspects: Whose run began after those had broken off, and broke off, too.
+      crashed: Whether it is taken to have ended.
       proof: What has shown that.
       proved_at: When that was, in trio's time.
     """
 
     state: _W
-    suspects: dict[Fingerprint, _BrokenRun] = attrs.field(factory=dict)
-    later: set[Fingerprint] = attrs.field(factory=set)
-    found_ended: bool = False
+    suspects: dict[Fingerprint, _InterruptedAttempt] = attrs.field(factory=dict)
+    late_suspects: set[Fingerprint] = attrs.field(factory=set)
+    crashed: bool = False
     proof: str = ""
     proved_at: float = 0.0
 
-    def broke_before(self, run: _BrokenRun) -> bool:
+    def began_after_crash(self, run: _InterruptedAttempt) -> bool:
         """Returns whether a run began after others had broken off, and ended at once.
 
         Whatever ended the upstream began before. One that lasted may have met its next
         life, and all may once it is known to have ended.
         """
-        if self.found_ended or not self.suspects or not run.at_once:
+        if self.crashed or not self.suspects or not run.is_immediate:
             return False
         return run.began > min(other.at for other in self.suspects.values())
 
-    def tells_little(self, run: _BrokenRun) -> bool:
+    def is_weak_evidence(self, run: _InterruptedAttempt) -> bool:
         """Returns whether a run may have met nothing but what stands before it.
 
         Something that takes connections for an upstream and closes them, since there is
         none, does so in milliseconds, and hides its end until it is back.
         """
         late = self.proved_at - run.at >= SAME_END_S
-        return late and run.at_once
+        return late and run.is_immediate
 
 
 class EndWatch(Generic[_W]):
@@ -218,12 +220,12 @@
         self.on_barred: Callable[[str], None] = lambda standing: None
         self.on_ended: Callable[[End, float], None] = lambda end, run_began: None
         self.on_withdrawn: Callable[[End], None] = lambda end: None
-        self._inquiries: dict[_W, _Inquiry[_W]] = {}
-        self._opened: list[_Inquiry[_W]] = []
-        self._untold: list[tuple[Fingerprint, End, bool]] = []
-        self._cleared: list[Fingerprint] = []
-        self._left: collections.deque[tuple[Fingerprint, _W, float]] = (
-            collections.deque(maxlen=_MOST_LEFT)
+        self._investigations: dict[_W, _Investigation[_W]] = {}
+        self._new_investigations: list[_Investigation[_W]] = []
+        self._unsent_reports: list[tuple[Fingerprint, End, bool]] = []
+        self._unsent_clears: list[Fingerprint] = []
+        self._abandoned: collections.deque[tuple[Fingerprint, _W, float]] = (
+            collections.deque(maxlen=_MAX_ABANDONED)
         )
         self._wake = trio.Event()
 
@@ -233,10 +235,12 @@
             while True:
                 await self._wake.wait()
                 self._wake = trio.Event()
-                while self._opened:
-                    nursery.start_soon(self._inquire, self._opened.pop())
-                if self._untold or self._cleared:
-                    nursery.start_soon(self._tell)
+                while self._new_investigations:
+                    nursery.start_soon(
+                        self._investigate, self._new_investigations.pop()
+                    )
+                if self._unsent_reports or self._unsent_clears:
+                    nursery.start_soon(self._send_update)
 
     # What the serving path tells.
 
@@ -263,55 +267,68 @@
         """
         now = trio.current_time()
         began = now if began is None else began
-        run = _BrokenRun(began, now, moved_on_s >= MOVED_ON_S)
-        self._suspect(fingerprint, state, run, silent=silent)
+        run = _InterruptedAttempt(began, now, moved_on_s >= PROGRESS_EVIDENCE_S)
+        self._add_suspect(fingerprint, state, run, silent=silent)
 
-    def _suspect(
-        self, fingerprint: Fingerprint, state: _W, run: _BrokenRun, *, silent: bool
+    def _add_suspect(
+        self,
+        fingerprint: Fingerprint,
+        state: _W,
+        run: _InterruptedAttempt,
+        *,
+        silent: bool,
     ) -> None:
         if state.stopping:
             return
-        inquiry = self._inquiries.get(state)
-        if inquiry is not None and inquiry.broke_before(run):
-            self._hold_later(inquiry, fingerprint, silent=silent)
+        investigation = self._investigations.get(state)
+        if investigation is not None and investigation.began_after_crash(run):
+            self._add_late_suspect(investigation, fingerprint, silent=silent)
             return
-        if inquiry is None:
-            inquiry = self._inquiries[state] = _Inquiry(state)
-            self._opened.append(inquiry)
+        if investigation is None:
+            investigation = self._investigations[state] = _Investigation(state)
+            self._new_investigations.append(investigation)
             self._wake.set()
-        if fingerprint in inquiry.suspects:
+        if fingerprint in investigation.suspects:
             return
-        inquiry.suspects[fingerprint] = run
-        if inquiry.found_ended:
-            self._note_end(inquiry, fingerprint)
+        investigation.suspects[fingerprint] = run
+        if investigation.crashed:
+            self._record_crash(investigation, fingerprint)
         elif not silent:
             self.ledger.broke_off(fingerprint, state.id)
 
-    def _hold_later(
-        self, inquiry: _Inquiry[_W], fingerprint: Fingerprint, *, silent: bool
+    def _add_late_suspect(
+        self,
+        investigation: _Investigation[_W],
+        fingerprint: Fingerprint,
+        *,
+        silent: bool,
     ) -> None:
         """Holds a request up that broke off after others: it may be one more cause."""
-        if not silent and fingerprint not in inquiry.later:
-            inquiry.later.add(fingerprint)
-            self.ledger.broke_off(fingerprint, inquiry.state.id)
+        if not silent and fingerprint not in investigation.late_suspects:
+            investigation.late_suspects.add(fingerprint)
+            self.ledger.broke_off(fingerprint, investigation.state.id)
 
     def left(self, fingerprint: Fingerprint, state: _W) -> None:
         """Notes a run that was left before its upstream had answered it."""
-        self._left.append((fingerprint, state, trio.current_time()))
+        self._abandoned.append((fingerprint, state, trio.current_time()))
 
     def unreachable(self, state: _W) -> None:
         """Notes that no connection to an upstream could be made."""
-        for fingerprint, left_at in self._left_at(state.id, trio.current_time()):
-            self._suspect(fingerprint, state, _left_run(left_at), silent=True)
+        for fingerprint, abandoned_at in self._abandoned_before(
+            state.id, trio.current_time()
+        ):
+            self._add_suspect(
+                fingerprint, state, _abandoned_attempt(abandoned_at), silent=True
+            )
 
-    def _left_at(
+    def _abandoned_before(
         self, upstream: UpstreamId, end_at: float
     ) -> list[tuple[Fingerprint, float]]:
         """Returns the runs that were left at an upstream shortly before its end."""
         return [
-            (fingerprint, left_at)
-            for fingerprint, state, left_at in self._left
-            if state.id == upstream and 0 <= end_at - left_at <= LEFT_S
+            (fingerprint, abandoned_at)
+            for fingerprint, state, abandoned_at in self._abandoned
+            if state.id == upstream and 0 <= end_at - abandoned_at <= ABANDONED_WINDOW_S
         ]
 
     def note_answer(self, request: Asking) -> None:
@@ -328,7 +345,7 @@
         held = self.ledger.clear(fingerprint, now=trio.current_time())
         if held:
             _log.info("A request was cleared.", fingerprint=shown(fingerprint))
-            self._cleared.append(fingerprint)
+            self._unsent_clears.append(fingerprint)
             self._wake.set()
         return held
 
@@ -377,90 +394,100 @@
 
     # Asking.
 
-    async def _inquire(self, inquiry: _Inquiry[_W]) -> None:
-        state = inquiry.state
+    async def _investigate(self, investigation: _Investigation[_W]) -> None:
+        state = investigation.state
         try:
-            for pause_s in LOOK_PAUSES_S:
+            for pause_s in PROBE_DELAYS_S:
                 await trio.sleep(pause_s)
-                if await self._settled(inquiry):
+                if await self._probe_once(investigation):
                     return
             if state.unlisted:
-                self._found_ended(inquiry, "it answers nothing and is unlisted")
+                self._record_proof(investigation, "it answers nothing and is unlisted")
         finally:
-            self._inquiries.pop(state, None)
-            for fingerprint in (*inquiry.suspects, *inquiry.later):
+            self._investigations.pop(state, None)
+            for fingerprint in (*investigation.suspects, *investigation.late_suspects):
                 self.ledger.settled(fingerprint, state.id)
             self.ledger.forget_old(trio.current_time())
 
-    async def _settled(self, inquiry: _Inquiry[_W]) -> bool:
+    async def _probe_once(self, investigation: _Investigation[_W]) -> bool:
         """Looks once; returns whether nothing more can be learnt."""
-        state = inquiry.state
+        state = investigation.state
         if state.restarted:
-            self._found_ended(inquiry, "it has started again")
+            self._record_proof(investigation, "it has started again")
             return True
-        finding = await self.ask(state)
-        if finding in _PROOFS:
-            self._found_ended(inquiry, finding.value)
-        elif finding is Finding.SAME_LIFE and inquiry.found_ended:
+        result = await self.ask(state)
+        if result in _CRASH_PROOFS:
+            self._record_proof(investigation, result.value)
+        elif result is Finding.SAME_LIFE and investigation.crashed:
             # Whatever else answers there now may be what has come after it.
-            self._withdraw(inquiry)
-        return finding in _FINAL
+            self._retract(investigation)
+        return result in _FINAL_RESULTS
 
-    def _found_ended(self, inquiry: _Inquiry[_W], proof: str) -> None:
-        if inquiry.found_ended:
+    def _record_proof(self, investigation: _Investigation[_W], proof: str) -> None:
+        if investigation.crashed:
             return
-        inquiry.found_ended = True
-        inquiry.proof = proof
-        inquiry.proved_at = trio.current_time()
-        first_at = min(run.at for run in inquiry.suspects.values())
-        for fingerprint, left_at in self._left_at(inquiry.state.id, first_at):
-            inquiry.suspects.setdefault(fingerprint, _left_run(left_at))
+        investigation.crashed = True
+        investigation.proof = proof
+        investigation.proved_at = trio.current_time()
+        first_at = min(run.at for run in investigation.suspects.values())
+        for fingerprint, abandoned_at in self._abandoned_before(
+            investigation.state.id, first_at
+        ):
+            investigation.suspects.setdefault(
+                fingerprint, _abandoned_attempt(abandoned_at)
+            )
         _log.warning(
             "An upstream ended under requests.",
-            upstream=inquiry.state.id,
+            upstream=investigation.state.id,
             proof=proof,
-            requests=len(inquiry.suspects),
+            requests=len(investigation.suspects),
         )
-        first_began = min(run.began for run in inquiry.suspects.values())
-        end = End(inquiry.state.id, first_at, inquiry.state.born_ms)
+        first_began = min(run.began for run in investigation.suspects.values())
+        end = End(investigation.state.id, first_at, investigation.state.born_ms)
         self.on_ended(end, first_began)
-        for fingerprint in inquiry.suspects:
-            self._note_end(inquiry, fingerprint)
+        for fingerprint in investigation.suspects:
+            self._record_crash(investigation, fingerprint)
 
-    def _note_end(self, inquiry: _Inquiry[_W], fingerprint: Fingerprint) -> None:
-        self.ledger.settled(fingerprint, inquiry.state.id)
-        end = self._end_under(inquiry, fingerprint)
+    def _record_crash(
+        self, investigation: _Investigation[_W], fingerprint: Fingerprint
+    ) -> None:
+        self.ledger.settled(fingerprint, investigation.state.id)
+        end = self._crash_under(investigation, fingerprint)
         if self.ledger.ended(fingerprint, end):
-            self._log_verdict(fingerprint, teller="")
-        self._untold.append((fingerprint, end, False))
+            self._log_if_quarantined(fingerprint, sender="")
+        self._unsent_reports.append((fingerprint, end, False))
         self._wake.set()
 
-    def _end_under(self, inquiry: _Inquiry[_W], fingerprint: Fingerprint) -> End:
+    def _crash_under(
+        self, investigation: _Investigation[_W], fingerprint: Fingerprint
+    ) -> End:
         """Returns the upstream's end, if it has ended, under one of the suspects."""
-        state, run = inquiry.state, inquiry.suspects[fingerprint]
+        state, run = investigation.state, investigation.suspects[fingerprint]
         steady = state.was_steady(began=run.began, at=run.at)
-        weak = run.moved_on or not steady or inquiry.tells_little(run)
-        end = End(state.id, run.at, state.born_ms, weak=weak, source=inquiry.proof)
+        weak = run.made_progress or not steady or investigation.is_weak_evidence(run)
+        end = End(
+            state.id, run.at, state.born_ms, weak=weak, source=investigation.proof
+        )
         return self.ledger.identified(fingerprint, end, run_began=run.began)
 
-    def _withdraw(self, inquiry: _Inquiry[_W]) -> None:
+    def _retract(self, investigation: _Investigation[_W]) -> None:
         """Takes an end back: the link to the upstream had refused for a moment."""
-        _log.warning("An upstream lives after all.", upstream=inquiry.state.id)
-        for fingerprint in inquiry.suspects:
-            end = self._end_under(inquiry, fingerprint)
+        _log.warning("An upstream lives after all.", upstream=investigation.state.id)
+        for fingerprint in investigation.suspects:
+            end = self._crash_under(investigation, fingerprint)
             self.ledger.withdraw(fingerprint, end)
             self.on_withdrawn(end)
-            self._untold.append((fingerprint, end, True))
+            self._unsent_reports.append((fingerprint, end, True))
         self._wake.set()
 
     # Telling and hearing.
 
-    async def _tell(self) -> None:
-        untold, self._untold = self._untold, []
-        cleared, self._cleared = tuple(self._cleared), []
-        for repeat in range(REPEATS + 1):
+    async def _send_update(self) -> None:
+        untold, self._unsent_reports = self._unsent_reports, []
+        cleared, self._unsent_clears = tuple(self._unsent_clears), []
+        for repeat in range(UPDATE_REPEATS + 1):
             if repeat:
-                await trio.sleep(REPEAT_S)
+                await trio.sleep(UPDATE_REPEAT_S)
             now = trio.current_time()
             ends = tuple(
                 ToldEnd.of(fingerprint, end, now=now, withdrawn=withdrawn)
@@ -470,7 +497,7 @@
             self.on_news(ends, () if repeat else cleared)
 
     def take_news(
-        self, teller: str, ends: tuple[ToldEnd, ...], cleared: tuple[Fingerprint, ...]
+        self, sender: str, ends: tuple[ToldEnd, ...], cleared: tuple[Fingerprint, ...]
     ) -> bool:
         """Takes what another instance has found; returns whether it is news."""
         now = trio.current_time()
@@ -479,55 +506,55 @@
             ends,
             cleared,
             now=now,
-            teller=teller,
+            sender=sender,
             on_new=lambda end: self.on_ended(end, end.at),
         )
         for told in ends:
-            end = told.heard(now=now)
+            end = told.to_crash(now=now)
             if told.withdrawn:
                 self.on_withdrawn(end)
             elif self.ledger.was_answered(told.fingerprint, end):
                 # The teller has missed that.
-                self._clear_again(told.fingerprint)
+                self._resend_clear(told.fingerprint)
             else:
-                self._note_left(end)
+                self._record_abandoned_crashes(end)
         for fingerprint in self.ledger.quarantined(now=now).keys() - before.keys():
-            self._log_verdict(fingerprint, teller=teller)
+            self._log_if_quarantined(fingerprint, sender=sender)
         return news
 
-    def _clear_again(self, fingerprint: Fingerprint) -> None:
-        if fingerprint not in self._cleared:
-            self._cleared.append(fingerprint)
+    def _resend_clear(self, fingerprint: Fingerprint) -> None:
+        if fingerprint not in self._unsent_clears:
+            self._unsent_clears.append(fingerprint)
             self._wake.set()
 
-    def _note_left(self, end: End) -> None:
+    def _record_abandoned_crashes(self, end: End) -> None:
         """Takes an end that another found as one of the runs that were left there."""
         seen = attrs.evolve(end, number=0)
-        for fingerprint, left_at in self._left_at(end.upstream, end.at):
-            left = self.ledger.identified(fingerprint, seen, run_began=left_at)
+        for fingerprint, abandoned_at in self._abandoned_before(end.upstream, end.at):
+            left = self.ledger.identified(fingerprint, seen, run_began=abandoned_at)
             if self.ledger.ended(fingerprint, left):
-                self._log_verdict(fingerprint, teller="")
-                self._untold.append((fingerprint, left, False))
+                self._log_if_quarantined(fingerprint, sender="")
+                self._unsent_reports.append((fingerprint, left, False))
                 self._wake.set()
 
-    def _log_verdict(self, fingerprint: Fingerprint, *, teller: str) -> None:
+    def _log_if_quarantined(self, fingerprint: Fingerprint, *, sender: str) -> None:
         now = trio.current_time()
         verdict = self.ledger.verdict(fingerprint, now=now)
         if verdict.standing is not Standing.QUARANTINED:
             return
-        ends = self.ledger.ends_of(fingerprint)[-_MOST_LOGGED:]
+        ends = self.ledger.ends_of(fingerprint)[-_MAX_LOGGED_CRASHES:]
         _log.warning(
             "A request is quarantined.",
             fingerprint=shown(fingerprint),
             ends=verdict.ends,
-            upstreams=self.ledger.upstreams_of(fingerprint)[-_MOST_LOGGED:],
-            met=[_logged(end, now=now) for end in ends],
-            teller=teller,
+            upstreams=self.ledger.upstreams_of(fingerprint)[-_MAX_LOGGED_CRASHES:],
+            met=[_crash_log_fields(end, now=now) for end in ends],
+            teller=sender,
             retry_after_s=round(verdict.retry_after_s, 1),
         )
 
 
-def _logged(end: End, *, now: float) -> dict[str, object]:
+def _crash_log_fields(end: End, *, now: float) -> dict[str, object]:
     """Returns an end as a line tells it, so that one told twice can be seen."""
     return {
         "upstream": end.upstream,
@@ -539,6 +566,6 @@
     }
 
 
-def _left_run(left_at: float) -> _BrokenRun:
+def _abandoned_attempt(abandoned_at: float) -> _InterruptedAttempt:
     """Returns a run that was left, of whose beginning nothing is kept."""
-    return _BrokenRun(left_at, left_at)
+    return _InterruptedAttempt(abandoned_at, abandoned_at)
--- a/src/coppercleat/quarantine/_page.py
+++ b/src/coppercleat/quarantine/_endpoint.py
@@ -11,7 +11,7 @@
 
 from coppercleat.asgi import Scope, Send, send_json
 from coppercleat.observability import part_logger
-from coppercleat.quarantine._end_watch import EndWatch
+from coppercleat.quarantine._detector import EndWatch
 from coppercleat.quarantine._fingerprint import Fingerprint, shown
 
 PAGE = "/quarantine"
@@ -35,7 +35,7 @@
     retry_after_s: float
 
 
-def list_quarantined(watch: EndWatch[Any]) -> list[QuarantinedRequest]:
+def list_quarantined_requests(watch: EndWatch[Any]) -> list[QuarantinedRequest]:
     """Returns the requests that are kept from running."""
     now = trio.current_time()
     wall_at_zero = time.time() - now
@@ -57,7 +57,9 @@
 async def serve_page(watch: EndWatch[Any], scope: Scope, send: Send) -> None:
     """Serves one call of the page."""
     if scope["method"] == "GET":
-        await send_json(send, 200, msgspec.to_builtins(list_quarantined(watch)))
+        await send_json(
+            send, 200, msgspec.to_builtins(list_quarantined_requests(watch))
+        )
         return
     if scope["method"] != "DELETE":
         await send_json(send, 405, {"error": "GET lists, DELETE clears one"})
--- a/src/coppercleat/quarantine/_ledger.py
+++ b/src/coppercleat/quarantine/_history.py
@@ -15,23 +15,23 @@
 import attrs
 
 from coppercleat.ids import UpstreamId
-from coppercleat.quarantine._ends import SAME_END_S, End, ToldEnd
+from coppercleat.quarantine._crashes import SAME_END_S, End, ToldEnd
 from coppercleat.quarantine._fingerprint import Fingerprint
 
-MOST_ENDS = 3
+QUARANTINE_CRASHES = 3
 """Ends after which a request runs no more. One or two come about by chance: a request
 whose upstream ends under another's is sent again, and may meet the other again. Among
 nine upstreams that is one request of 80 that were cut with it."""
 
-_WARY_ENDS = 2
-WARY_S = 8.0
+_STEADY_ONLY_CRASHES = 2
+STEADY_ONLY_S = 8.0
 """After so many ends a request is sent to steady upstreams only, for so long after the
 last: what has just started may end by itself, and a proper request would be held to
 account for that. No longer, since upstreams may end again and again for hours, and
 serve others in between; a further end there counts half."""
 
 _WEIGHT, _WEAK_WEIGHT = 2, 1
-_MOST_WEIGHT = MOST_ENDS * _WEIGHT
+_QUARANTINE_WEIGHT = QUARANTINE_CRASHES * _WEIGHT
 """A weak end counts half, not nothing: the request may be the cause all the same, and
 meets six before it is kept from running."""
 
@@ -45,17 +45,17 @@
 meets the ends of others more often, and they are due in seconds: two trials fit into
 15 s. A job may be kept for hours, so that there are more."""
 
-DOUBTFUL_PAUSE_S = 5.0
+WEAK_EVIDENCE_PERIOD_S = 5.0
 """The first pause at most if any end was weak: the request may well be a proper one."""
 
 TRIAL_STAGGER_S = 2.0
 """The next in line lets a trial through so much later than the one before, as not every
 instance is asked for each request. A trial that ends its upstream is told by then."""
 
-REMEMBERED_S = 24 * 3600.0
+QUARANTINED_RETENTION_S = 24 * 3600.0
 """A request that is quarantined is forgotten so long after its last end."""
 
-SUSPECT_S = 600.0
+SUSPECT_RETENTION_S = 600.0
 """One with fewer ends is forgotten after this time: a client gives up much sooner, and
 while any is remembered each request has its fingerprint worked out."""
 
@@ -63,15 +63,15 @@
 """When to come back while it is not known whether upstreams have ended: they are asked,
 and most are found dead or alive in 0.1 s."""
 
-MOST_REQUESTS = 1024
+MAX_REQUESTS = 1024
 """Requests that are remembered, 0.7 MB with three ends each. When an upstream ends, up
 to as many as its slots are added; those with the fewest and oldest ends go first."""
 
-_MOST_DISCOUNTED = 8
+_MAX_DISCOUNTED = 8
 """Ends of one request that are remembered as taken back, or voided by an answer: the
 last ones."""
 
-MOST_TOLD = 24
+MAX_REMINDED_REQUESTS = 24
 """Requests of which others are reminded in one message, 3 kB with three ends each, by
 the number of ends. What is found is told at once, and whole: 50 bytes an end."""
 
@@ -143,29 +143,33 @@
     @property
     def quarantined(self) -> bool:
         """Whether they say enough to keep it from running."""
-        return self.weight >= _MOST_WEIGHT
+        return self.weight >= _QUARANTINE_WEIGHT
 
     @property
     def trials_failed(self) -> int:
         """How many ends it met after it was kept from running for the first time."""
         weights = [_WEAK_WEIGHT if end.weak else _WEIGHT for end in self.ends]
         reached = itertools.accumulate(weights)
-        return sum(weight >= _MOST_WEIGHT for weight in reached) - 1
+        return sum(weight >= _QUARANTINE_WEIGHT for weight in reached) - 1
 
     @property
     def last_at(self) -> float:
         return max((end.at for end in self.ends), default=float("-inf"))
 
-    def find_told(self, end: End) -> End | None:
+    def find_reported(self, end: End) -> End | None:
         """Returns the end already known that a told one is; None if it is new."""
-        return next((known for known in self.ends if end.was_told_as(known)), None)
+        return next(
+            (known for known in self.ends if end.is_duplicate_report(known)), None
+        )
 
-    def find_seen(self, end: End, *, run_began: float) -> End | None:
+    def find_observed(self, end: End, *, run_began: float) -> End | None:
         """Returns the end already known that a seen one is; None if it is new."""
-        same = (e for e in self.ends if end.was_seen_as(e, run_began=run_began))
+        same = (
+            e for e in self.ends if end.is_duplicate_observation(e, run_began=run_began)
+        )
         return next(same, None)
 
-    def numbered(self, end: End, *, before: Sequence[End] = ()) -> End:
+    def with_number(self, end: End, *, before: Sequence[End] = ()) -> End:
         """Returns a new end with its number.
 
         Args:
@@ -184,7 +188,7 @@
 
     def __init__(self) -> None:
         self._records: dict[Fingerprint, _Record] = {}
-        self._void: dict[tuple[Fingerprint, UpstreamId | None], float] = {}
+        self._voided_until: dict[tuple[Fingerprint, UpstreamId | None], float] = {}
         self._discounted: dict[Fingerprint, list[End]] = {}
 
     def __len__(self) -> int:
@@ -210,8 +214,8 @@
         """Returns an end that was seen here as it is to be told: known, or numbered."""
         record = self._records.get(fingerprint, _Record())
         before = self._discounted.get(fingerprint, ())
-        known = record.find_seen(end, run_began=run_began)
-        return known or record.numbered(end, before=before)
+        known = record.find_observed(end, run_began=run_began)
+        return known or record.with_number(end, before=before)
 
     def ended(self, fingerprint: Fingerprint, end: End) -> bool:
         """Notes that an upstream ended under a request; returns whether that is new.
@@ -221,7 +225,7 @@
           end: Told, or identified here.
         """
         record = self._record(fingerprint)
-        if record.find_told(end) is not None:
+        if record.find_reported(end) is not None:
             return False
         if not self._counts(fingerprint, end):
             self._drop_if_empty(fingerprint, record)
@@ -236,7 +240,7 @@
         if _Record(ends=counted).weight > record.weight:
             record.ends = []
             for end in counted:
-                record.ends.append(record.numbered(end))
+                record.ends.append(record.with_number(end))
         self._drop_if_empty(fingerprint, record)
 
     def withdraw(self, fingerprint: Fingerprint, end: End) -> bool:
@@ -245,12 +249,12 @@
         Returns:
           Whether its end was held against the request.
         """
-        self._void[fingerprint, end.upstream] = end.at + SAME_END_S
+        self._voided_until[fingerprint, end.upstream] = end.at + SAME_END_S
         self._discount(fingerprint, [end])
         record = self._records.get(fingerprint)
         if record is None:
             return False
-        known = record.find_told(end)
+        known = record.find_reported(end)
         if known is not None:
             record.ends.remove(known)
         self._drop_if_empty(fingerprint, record)
@@ -265,13 +269,16 @@
         record = self._records.pop(fingerprint, None)
         if record is None:
             return False
-        self._void[fingerprint, None] = now
+        self._voided_until[fingerprint, None] = now
         self._discount(fingerprint, record.ends)
         return True
 
     def was_answered(self, fingerprint: Fingerprint, end: End) -> bool:
         """Returns whether an answer has voided an end, and nothing came after it."""
-        if fingerprint in self._records or (fingerprint, None) not in self._void:
+        if (
+            fingerprint in self._records
+            or (fingerprint, None) not in self._voided_until
+        ):
             return False
         return not self._counts(fingerprint, end)
 
@@ -281,7 +288,7 @@
         cleared: Iterable[Fingerprint],
         *,
         now: float,
-        teller: str = "",
+        sender: str = "",
         on_new: Callable[[End], None] = lambda end: None,
     ) -> bool:
         """Takes what another instance tells; returns whether any of it is new.
@@ -290,12 +297,12 @@
           ends: What it has seen or heard of.
           cleared: Requests that were answered.
           now: Seconds on this instance's clock.
-          teller: Who tells, for the log.
+          sender: Who tells, for the log.
           on_new: Told of each end that is new.
         """
         news = [self.clear(fingerprint, now=now) for fingerprint in cleared]
         for told in ends:
-            end = told.heard(now=now, teller=teller)
+            end = told.to_crash(now=now, sender=sender)
             note = self.withdraw if told.withdrawn else self.ended
             news.append(note(told.fingerprint, end))
             if news[-1] and not told.withdrawn:
@@ -319,9 +326,9 @@
         ends = len(record.ends)
         if record.quarantined:
             return self._verdict_after_pause(record, now, pauses_s)
-        if record.weight + len(set(record.pending)) * _WEIGHT >= _MOST_WEIGHT:
+        if record.weight + len(set(record.pending)) * _WEIGHT >= _QUARANTINE_WEIGHT:
             return Verdict(Standing.HELD, HELD_RETRY_S, ends)
-        wary = ends >= _WARY_ENDS and now - record.last_at < WARY_S
+        wary = ends >= _STEADY_ONLY_CRASHES and now - record.last_at < STEADY_ONLY_S
         return Verdict(Standing.FREE, ends=ends, wary=wary)
 
     def _verdict_after_pause(
@@ -331,15 +338,15 @@
         if trial < len(pauses_s):
             pause_s = pauses_s[trial]
             if not trial and any(end.weak for end in record.ends):
-                pause_s = min(pause_s, DOUBTFUL_PAUSE_S)
+                pause_s = min(pause_s, WEAK_EVIDENCE_PERIOD_S)
             left_s = max(record.last_at, record.trial_at) + pause_s - now
         else:
-            left_s = max(0.1, record.last_at + REMEMBERED_S - now)
+            left_s = max(0.1, record.last_at + QUARANTINED_RETENTION_S - now)
         return Verdict(
             Standing.QUARANTINED,
             max(0.0, left_s),
             ends,
-            wary=-left_s < WARY_S,
+            wary=-left_s < STEADY_ONLY_S,
             overdue_s=max(0.0, -left_s),
         )
 
@@ -358,7 +365,7 @@
         records = sorted(self._records.items(), key=lambda item: -item[1].weight)
         return tuple(
             ToldEnd.of(fingerprint, end, now=now)
-            for fingerprint, record in records[:MOST_TOLD]
+            for fingerprint, record in records[:MAX_REMINDED_REQUESTS]
             for end in record.ends
         )
 
@@ -380,7 +387,7 @@
         return {
             fingerprint: len(record.ends)
             for fingerprint, record in self._records.items()
-            if record.quarantined and now - record.last_at <= REMEMBERED_S
+            if record.quarantined and now - record.last_at <= QUARANTINED_RETENTION_S
         }
 
     # Bounds.
@@ -388,33 +395,33 @@
     def _record(self, fingerprint: Fingerprint) -> _Record:
         record = self._records.get(fingerprint)
         if record is None:
-            if len(self._records) >= MOST_REQUESTS:
-                self._drop_least()
+            if len(self._records) >= MAX_REQUESTS:
+                self._evict_lightest()
             record = self._records[fingerprint] = _Record()
         return record
 
-    def _is_void(self, fingerprint: Fingerprint, end: End) -> bool:
+    def _is_voided(self, fingerprint: Fingerprint, end: End) -> bool:
         """Returns whether an end came before what has shown that it does not count."""
         keys = (fingerprint, end.upstream), (fingerprint, None)
-        return end.at <= max(self._void.get(key, float("-inf")) for key in keys)
+        return end.at <= max(self._voided_until.get(key, float("-inf")) for key in keys)
 
     def _discount(self, fingerprint: Fingerprint, ends: list[End]) -> None:
         """Remembers ends that count no more, as word of them may be read late."""
         before = self._discounted.pop(fingerprint, [])
-        self._discounted[fingerprint] = [*before, *ends][-_MOST_DISCOUNTED:]
+        self._discounted[fingerprint] = [*before, *ends][-_MAX_DISCOUNTED:]
 
     def _counts(self, fingerprint: Fingerprint, end: End) -> bool:
         """Returns whether nothing has shown that an end does not count."""
         discounted = self._discounted.get(fingerprint, ())
-        if self._is_void(fingerprint, end):
+        if self._is_voided(fingerprint, end):
             return False
-        return not (end.number and any(map(end.was_told_as, discounted)))
+        return not (end.number and any(map(end.is_duplicate_report, discounted)))
 
     def _drop_if_empty(self, fingerprint: Fingerprint, record: _Record) -> None:
         if not record.ends and not record.pending:
             self._records.pop(fingerprint, None)
 
-    def _drop_least(self) -> None:
+    def _evict_lightest(self) -> None:
         def weight(fingerprint: Fingerprint) -> tuple[int, float]:
             record = self._records[fingerprint]
             return record.weight, record.last_at
@@ -424,10 +431,12 @@
     def forget_old(self, now: float) -> None:
         """Drops what is too old to count."""
         for fingerprint, record in list(self._records.items()):
-            lasts_s = REMEMBERED_S if record.quarantined else SUSPECT_S
+            lasts_s = (
+                QUARANTINED_RETENTION_S if record.quarantined else SUSPECT_RETENTION_S
+            )
             if record.ends and now - record.last_at > lasts_s:
                 del self._records[fingerprint]
-        while len(self._void) > MOST_REQUESTS:
-            del self._void[next(iter(self._void))]
-        while len(self._discounted) > MOST_REQUESTS:
+        while len(self._voided_until) > MAX_REQUESTS:
+            del self._voided_until[next(iter(self._voided_until))]
+        while len(self._discounted) > MAX_REQUESTS:
             del self._discounted[next(iter(self._discounted))]
--- a/src/coppercleat/quarantine/_end_keeper.py
+++ b/src/coppercleat/quarantine/_quarantine_store.py
@@ -15,11 +15,11 @@
 import trio
 
 from coppercleat.ids import UpstreamId
-from coppercleat.quarantine._ends import End
+from coppercleat.quarantine._crashes import End
 from coppercleat.quarantine._fingerprint import Fingerprint
-from coppercleat.quarantine._ledger import EndLedger
+from coppercleat.quarantine._history import EndLedger
 
-MOST_KEPT = 8
+MAX_RECORDS = 8
 """Requests in one row, those with the most ends: 2 kB with six ends each."""
 
 
@@ -40,7 +40,7 @@
     numbers: tuple[int, ...] = ()
     weak: tuple[bool, ...] = ()
 
-    def by_clock(self, *, wall_at_zero: float, now: float) -> list[End]:
+    def to_crashes(self, *, wall_at_zero: float, now: float) -> list[End]:
         """Returns the ends by a clock that showed 0 at that Unix time."""
         births = itertools.chain(self.births, itertools.repeat(0))
         numbers = itertools.chain(self.numbers, itertools.repeat(0))
@@ -98,7 +98,7 @@
                 tuple(end.number for end in ends),
                 tuple(end.weak for end in ends),
             )
-            for fingerprint in mine[:MOST_KEPT]
+            for fingerprint in mine[:MAX_RECORDS]
             for ends in [self.ledger.ends_of(fingerprint)]
         )
 
@@ -109,5 +109,5 @@
         for request in kept:
             if self.ledger.is_quarantined(request.fingerprint):
                 continue
-            ends = request.by_clock(wall_at_zero=wall_at_zero, now=now)
+            ends = request.to_crashes(wall_at_zero=wall_at_zero, now=now)
             self.ledger.adopt(request.fingerprint, ends)
--- a/tests/features/steps/steadiness_steps.py
+++ b/tests/features/steps/steadiness_steps.py
@@ -335,7 +335,7 @@
                 watch.ledger.ended(FINGERPRINT, end)
         async with trio.open_nursery() as nursery:
             other.answered(FINGERPRINT)
-            other._cleared.clear()
+            other._unsent_clears.clear()
             nursery.start_soon(other.run)
             await trio.sleep(2.0)
             other.take_news("one", one.ledger.told(now=trio.current_time()), ())
