--- a/src/coppercleat/quarantine/__init__.py
+++ b/src/coppercleat/quarantine/__init__.py
@@ -1,10 +1,10 @@
 """Finds requests that end the upstreams that run them, and keeps them from more."""
 
-from coppercleat.quarantine._crashes import SAME_END_S, End, EndsSeen, ToldEnd
-from coppercleat.quarantine._detector import Asking, EndWatch, Finding, Watched
-from coppercleat.quarantine._endpoint import PAGE, serve_page
+from coppercleat.quarantine._end_keeper import EndKeeper, KeptEnds
+from coppercleat.quarantine._end_watch import Asking, EndWatch, Finding, Watched
+from coppercleat.quarantine._ends import SAME_END_S, End, EndsSeen, ToldEnd
 from coppercleat.quarantine._fingerprint import Fingerprint, fingerprint_of, shown
-from coppercleat.quarantine._history import (
+from coppercleat.quarantine._ledger import (
     FREE,
     HELD_RETRY_S,
     ITEM_PAUSES_S,
@@ -13,7 +13,7 @@
     Standing,
     Verdict,
 )
-from coppercleat.quarantine._quarantine_store import EndKeeper, KeptEnds
+from coppercleat.quarantine._page import PAGE, serve_page
 
 __all__ = [
     "FREE",
--- a/src/coppercleat/quarantine/_detector.py
+++ b/src/coppercleat/quarantine/_end_watch.py
@@ -17,9 +17,9 @@
 
 from coppercleat.ids import UpstreamId
 from coppercleat.observability import part_logger
-from coppercleat.quarantine._crashes import SAME_END_S, End, ToldEnd
+from coppercleat.quarantine._ends import SAME_END_S, End, ToldEnd
 from coppercleat.quarantine._fingerprint import Fingerprint, shown
-from coppercleat.quarantine._history import (
+from coppercleat.quarantine._ledger import (
     FREE,
     HELD_RETRY_S,
     ITEM_PAUSES_S,
--- /dev/null
+++ b/src/coppercleat/quarantine/_ends.py
@@ -0,0 +1,156 @@
+"""Upstream crashes, and the messages by which instances report them to each other."""
+
+from __future__ import annotations
+
+import attrs
+import msgspec
+
+from coppercleat.ids import UpstreamId
+from coppercleat.quarantine._fingerprint import Fingerprint
+
+SAME_END_S = 0.5
+"""Observations of one upstream this close in time are the same crash: connections break
+within milliseconds, and a restart takes longer."""
+
+
+MIN_UPTIME_S = 0.1
+"""No upstream starts and crashes again within this time."""
+
+
+@attrs.frozen
+class End:
+    """One crash of an upstream while it processed a request.
+
+    Attributes:
+      at: Time of the crash, in seconds of the local clock; too late by any delay of
+        the report.
+      born_ms: See ``Upstream.born_ms``; 0 if unknown. The upstream list may lag behind
+        a restart, so two incarnations may have the same value here.
+      number: Counts the crashes of this upstream under this request from 1, as far as
+        the observing instance knew them; 0 while unassigned.
+      weak: Whether the crash is weak evidence against the request, since the upstream
+        was not steady or the attempt had made progress.
+      source: The proof, or the reporting instance; for the log.
+    """
+
+    upstream: UpstreamId
+    at: float
+    born_ms: int = 0
+    number: int = 0
+    weak: bool = False
+    source: str = attrs.field(default="", eq=False)
+
+    def is_duplicate_observation(self, known: End, *, run_began: float) -> bool:
+        """Returns whether this crash, observed locally, is the known one.
+
+        Args:
+          known: A crash that is already recorded.
+          run_began: When the attempt began that this crash interrupted. An attempt
+            that began before a known crash was interrupted by it, however late that
+            was noticed.
+        """
+        began_before = self._may_be_same_incarnation(known) and run_began <= known.at
+        return began_before or self.coincides_with(known) or self._is_too_close(known)
+
+    def coincides_with(self, other: End) -> bool:
+        """Returns whether both are crashes of one upstream at the same time."""
+        return (
+            self._may_be_same_incarnation(other)
+            and abs(self.at - other.at) < SAME_END_S
+        )
+
+    def is_duplicate_report(self, known: End) -> bool:
+        """Returns whether this crash, reported by another instance, is the known one.
+
+        The time is not compared: reports state the age of a crash, so each delay on the
+        way makes it look more recent.
+        """
+        return (
+            self._may_be_same_incarnation(known) and self.number == known.number
+        ) or self._is_too_close(known)
+
+    def _is_too_close(self, known: End) -> bool:
+        """Returns whether the upstream can't have restarted between the two crashes.
+
+        Start times are ignored, since one instance may have an outdated upstream list.
+        """
+        near = abs(self.at - known.at) < MIN_UPTIME_S
+        return near and self.upstream == known.upstream
+
+    def _may_be_same_incarnation(self, known: End) -> bool:
+        """Returns whether both are of one upstream, with no two known start times."""
+        start_times = {self.born_ms, known.born_ms} - {0}
+        return self.upstream == known.upstream and len(start_times) < 2
+
+
+class ToldEnd(msgspec.Struct, frozen=True, array_like=True):
+    """A crash of an upstream, as one instance reports it to another.
+
+    Attributes:
+      fingerprint: The request that the upstream was processing.
+      upstream: The upstream that crashed.
+      age_s: Seconds since the crash, so that clocks need not agree.
+      withdrawn: Whether the crash turned out to be a false positive.
+      born_ms: See ``End``.
+      number: See ``End``; absent from instances of earlier versions.
+      weak: See ``End``; absent from instances of earlier versions, which may have
+        counted weak evidence in full.
+    """
+
+    fingerprint: Fingerprint
+    upstream: UpstreamId
+    age_s: float
+    withdrawn: bool = False
+    born_ms: int = 0
+    number: int = 1
+    weak: bool = True
+
+    @classmethod
+    def of(
+        cls, fingerprint: Fingerprint, end: End, *, now: float, withdrawn: bool = False
+    ) -> ToldEnd:
+        """Returns the report of a crash that this instance knows.
+
+        Args:
+          fingerprint: The request that the upstream was processing.
+          end: The crash.
+          now: Seconds on the local clock.
+          withdrawn: Whether to report the crash as a false positive.
+        """
+        return cls(
+            fingerprint,
+            end.upstream,
+            now - end.at,
+            withdrawn,
+            end.born_ms,
+            end.number,
+            end.weak,
+        )
+
+    def to_crash(self, *, now: float, sender: str = "") -> End:
+        """Returns the reported crash, with its time on the local clock.
+
+        Args:
+          now: Seconds on the local clock.
+          sender: The reporting instance, for the log.
+        """
+        return End(
+            self.upstream,
+            now - self.age_s,
+            self.born_ms,
+            self.number,
+            self.weak,
+            source=f"reported by {sender}",
+        )
+
+
+class EndsSeen(msgspec.Struct, frozen=True, tag="ends", array_like=True):
+    """Message that reports crashes and cleared requests to another instance.
+
+    Attributes:
+      ends: Crashes observed by the sender or reported to it.
+      cleared: Requests that an upstream has answered since.
+    """
+
+    ends: tuple[ToldEnd, ...]
+    cleared: tuple[Fingerprint, ...] = ()
--- a/src/coppercleat/quarantine/_fingerprint.py
+++ b/src/coppercleat/quarantine/_fingerprint.py
@@ -1,4 +1,4 @@
-"""Names what a request asks, whoever brings it and however often it comes."""
+"""Content fingerprints, by which equal requests are recognised across retries."""
 
 from __future__ import annotations
 
@@ -6,11 +6,10 @@
 from typing import NewType
 
 Fingerprint = NewType("Fingerprint", bytes)
-"""The same for requests that ask the same; ``FINGERPRINT_BYTES`` long."""
+"""Digest of ``FINGERPRINT_BYTES`` bytes, equal for requests with equal content."""
 
 FINGERPRINT_BYTES = 16
-"""Two of a billion requests are alike by chance once in 10^20 times. The hash is a
-cryptographic one: nobody can make a request that passes for another's."""
+"""Long enough that two requests never share a fingerprint by chance."""
 
 
 def fingerprint_of(
@@ -18,20 +17,19 @@
 ) -> Fingerprint:
     """Returns the fingerprint of a request.
 
-    Neither its id nor its other headers count: a client that asks again has a new id
-    and less time left. A body of 2 kB takes 9 us, one of 4 MB 23 ms (on a machine of
-    eight cores, six of them busy), so it is worked out where it is needed only.
+    The request id and the other headers are left out, since a retry has a new id and a
+    shorter deadline. The cost grows with the body: compute it only when needed.
 
     Args:
-      method: Its method.
-      host: Its host, without the port.
+      method: HTTP method.
+      host: Host name without the port.
       target: Path and query.
-      account: What names the client account; empty where nothing does.
-      body: Its whole body.
+      account: Credentials or name of the client account; empty if there are none.
+      body: The whole body.
     """
     digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     for part in (method.encode(), host.lower().encode(), target, account):
-        # Lengths keep apart what else could be cut in two at another place.
+        # Length prefixes keep different splits of the same bytes apart.
         digest.update(len(part).to_bytes(4, "big"))
         digest.update(part)
     digest.update(body)
@@ -39,5 +37,5 @@
 
 
 def shown(fingerprint: Fingerprint) -> str:
-    """Returns a fingerprint as logs and operators write it."""
+    """Returns a fingerprint as hexadecimal text, for logs and operators."""
     return fingerprint.hex()
--- /dev/null
+++ b/src/coppercleat/quarantine/_ledger.py
@@ -0,0 +1,446 @@
+"""Counts upstream crashes by request, and quarantines requests that may cause them.
+
+A "query of death" crashes each upstream that processes it, and client retries spread it
+over the fleet. A crash interrupts all requests in flight at the upstream; each of them
+is suspect until an upstream answers it. Reads no clock and does no I/O.
+"""
+
+from __future__ import annotations
+
+import enum
+import itertools
+from collections.abc import Callable, Iterable, Sequence
+
+import attrs
+
+from coppercleat.ids import UpstreamId
+from coppercleat.quarantine._ends import SAME_END_S, End, ToldEnd
+from coppercleat.quarantine._fingerprint import Fingerprint
+
+QUARANTINE_CRASHES = 3
+"""Crashes after which a request is quarantined. An innocent request may meet a few:
+retries of it and of the culprit can reach the same upstream."""
+
+_STEADY_ONLY_CRASHES = 2
+STEADY_ONLY_S = 8.0
+"""After so many crashes, and for so many seconds after the last, a request is sent to
+steady upstreams only, since one that has just started may crash by itself. The time is
+limited, since upstreams may be unsteady for hours."""
+
+_WEIGHT, _WEAK_WEIGHT = 2, 1
+_QUARANTINE_WEIGHT = QUARANTINE_CRASHES * _WEIGHT
+"""Weight of a crash as evidence, and the sum from which a request is quarantined."""
+
+PAUSES_S = (60.0, 600.0, 3600.0)
+"""Seconds of quarantine, at first and after each failed trial. After a period one trial
+is allowed, so that an innocent request is not refused for good."""
+
+ITEM_PAUSES_S = (5.0, 10.0, 60.0, 600.0, 3600.0)
+"""The same for items of batch jobs. The first periods are short, since items are due
+within seconds and their automatic retries meet the crashes of others more often."""
+
+WEAK_EVIDENCE_PERIOD_S = 5.0
+"""Upper limit of the first quarantine period if any of the evidence is weak."""
+
+TRIAL_STAGGER_S = 2.0
+"""Delay after which the next instance in line may run a trial, as the one before it may
+not receive the request. Long enough for a failed trial to be reported."""
+
+QUARANTINED_RETENTION_S = 24 * 3600.0
+"""Time after its last crash for which a quarantined request is remembered."""
+
+SUSPECT_RETENTION_S = 600.0
+"""The same for a suspect request. Longer than clients retry, but short: each request is
+fingerprinted while any is remembered."""
+
+HELD_RETRY_S = 1.0
+"""Retry delay for a request while upstreams are probed for a crash."""
+
+MAX_REQUESTS = 1024
+"""Limit of remembered requests; those with the lightest and oldest evidence are evicted
+first."""
+
+_MAX_DISCOUNTED = 8
+"""Limit of remembered crashes of one request that were retracted or voided."""
+
+MAX_REMINDED_REQUESTS = 24
+"""Limit of requests in one periodic message, by weight of the evidence. New crashes are
+reported at once and without a limit."""
+
+
+class Standing(enum.Enum):
+    """Kind of a verdict on a request.
+
+    Attributes:
+      FREE: It may run.
+      TRIAL: It may run once, since its quarantine period is over.
+      HELD: It waits until probes show whether upstreams crashed under it.
+      UNSTEADY: It waits until a steady upstream is available.
+      QUARANTINED: It may not run until its quarantine period is over.
+    """
+
+    FREE = "free"
+    TRIAL = "trial"
+    HELD = "held"
+    UNSTEADY = "unsteady"
+    QUARANTINED = "quarantined"
+
+
+@attrs.define(frozen=True)
+class Verdict:
+    """Whether a request may run now.
+
+    Attributes:
+      standing: What the request may do.
+      retry_after_s: Seconds until it may run; 0 if it may run now.
+      ends: Number of crashes recorded against it.
+      wary: Whether it may be sent to steady upstreams only.
+      overdue_s: Seconds since a trial became due.
+    """
+
+    standing: Standing
+    retry_after_s: float = 0.0
+    ends: int = 0
+    wary: bool = False
+    overdue_s: float = 0.0
+
+    @property
+    def may_run(self) -> bool:
+        """Whether it may be sent to an upstream."""
+        return self.standing in (Standing.FREE, Standing.TRIAL)
+
+
+FREE = Verdict(Standing.FREE)
+"""Verdict on a request without recorded crashes."""
+
+
+@attrs.define
+class _Record:
+    """Evidence against one request.
+
+    Attributes:
+      crashes: In the order in which they were recorded.
+      pending: Upstreams that may have crashed and are being probed.
+      trial_at: When the last trial began.
+    """
+
+    crashes: list[End] = attrs.field(factory=list)
+    pending: list[UpstreamId] = attrs.field(factory=list)
+    trial_at: float = float("-inf")
+
+    @property
+    def weight(self) -> int:
+        """Sum of the weights of the crashes."""
+        return sum(_WEAK_WEIGHT if crash.weak else _WEIGHT for crash in self.crashes)
+
+    @property
+    def quarantined(self) -> bool:
+        """Whether the evidence is heavy enough for a quarantine."""
+        return self.weight >= _QUARANTINE_WEIGHT
+
+    @property
+    def trials_failed(self) -> int:
+        """Number of crashes after the one that began the quarantine."""
+        weights = [_WEAK_WEIGHT if crash.weak else _WEIGHT for crash in self.crashes]
+        reached = itertools.accumulate(weights)
+        return sum(weight >= _QUARANTINE_WEIGHT for weight in reached) - 1
+
+    @property
+    def last_at(self) -> float:
+        return max((crash.at for crash in self.crashes), default=float("-inf"))
+
+    def find_reported(self, crash: End) -> End | None:
+        """Returns the recorded crash that a reported one repeats; None if it is new."""
+        return next(
+            (known for known in self.crashes if crash.is_duplicate_report(known)), None
+        )
+
+    def find_observed(self, crash: End, *, run_began: float) -> End | None:
+        """Returns the recorded crash that an observed one repeats; None if new."""
+        duplicates = (
+            known
+            for known in self.crashes
+            if crash.is_duplicate_observation(known, run_began=run_began)
+        )
+        return next(duplicates, None)
+
+    def with_number(self, crash: End, *, before: Sequence[End] = ()) -> End:
+        """Returns a new crash with its number assigned.
+
+        Args:
+          crash: The crash.
+          before: Earlier crashes that were retracted or voided.
+        """
+        if crash.number:
+            return crash
+        earlier = (*before, *self.crashes)
+        numbers = [c.number for c in earlier if c.upstream == crash.upstream]
+        return attrs.evolve(crash, number=max(numbers, default=0) + 1)
+
+
+class EndLedger:
+    """Crashes by request; all times are seconds on one clock of the caller."""
+
+    def __init__(self) -> None:
+        self._records: dict[Fingerprint, _Record] = {}
+        self._voided_until: dict[tuple[Fingerprint, UpstreamId | None], float] = {}
+        self._discounted: dict[Fingerprint, list[End]] = {}
+
+    def __len__(self) -> int:
+        return len(self._records)
+
+    # Recording evidence.
+
+    def broke_off(self, fingerprint: Fingerprint, upstream: UpstreamId) -> None:
+        """Records an interrupted attempt at an upstream that may have crashed."""
+        self._record(fingerprint).pending.append(upstream)
+
+    def settled(self, fingerprint: Fingerprint, upstream: UpstreamId) -> None:
+        """Removes an interrupted attempt whose upstream is no longer probed."""
+        record = self._records.get(fingerprint)
+        if record is None or upstream not in record.pending:
+            return
+        record.pending.remove(upstream)
+        self._drop_if_empty(fingerprint, record)
+
+    def identified(
+        self, fingerprint: Fingerprint, crash: End, *, run_began: float
+    ) -> End:
+        """Returns the recorded crash that an observed one repeats, or it with a number.
+
+        Args:
+          fingerprint: The request.
+          crash: The crash as observed here.
+          run_began: When the interrupted attempt began.
+        """
+        record = self._records.get(fingerprint, _Record())
+        before = self._discounted.get(fingerprint, ())
+        known = record.find_observed(crash, run_began=run_began)
+        return known or record.with_number(crash, before=before)
+
+    def ended(self, fingerprint: Fingerprint, crash: End) -> bool:
+        """Records a crash under a request; returns whether it is new.
+
+        Args:
+          fingerprint: The request.
+          crash: The crash, with its number.
+        """
+        record = self._record(fingerprint)
+        if record.find_reported(crash) is not None:
+            return False
+        if not self._counts(fingerprint, crash):
+            self._drop_if_empty(fingerprint, record)
+            return False
+        record.crashes.append(crash)
+        return True
+
+    def adopt(self, fingerprint: Fingerprint, crashes: list[End]) -> None:
+        """Replaces the recorded crashes of a request by those given, if heavier."""
+        counted = [crash for crash in crashes if self._counts(fingerprint, crash)]
+        record = self._record(fingerprint)
+        if _Record(crashes=counted).weight > record.weight:
+            record.crashes = []
+            for crash in counted:
+                record.crashes.append(record.with_number(crash))
+        self._drop_if_empty(fingerprint, record)
+
+    def withdraw(self, fingerprint: Fingerprint, crash: End) -> bool:
+        """Removes a false positive; returns whether it was recorded."""
+        self._voided_until[fingerprint, crash.upstream] = crash.at + SAME_END_S
+        self._discount(fingerprint, [crash])
+        record = self._records.get(fingerprint)
+        if record is None:
+            return False
+        known = record.find_reported(crash)
+        if known is not None:
+            record.crashes.remove(known)
+        self._drop_if_empty(fingerprint, record)
+        return known is not None
+
+    def clear(self, fingerprint: Fingerprint, *, now: float) -> bool:
+        """Clears a request; returns whether there was any evidence against it.
+
+        Crashes up to now are void, also if other instances report them later.
+        """
+        record = self._records.pop(fingerprint, None)
+        if record is None:
+            return False
+        self._voided_until[fingerprint, None] = now
+        self._discount(fingerprint, record.crashes)
+        return True
+
+    def was_answered(self, fingerprint: Fingerprint, crash: End) -> bool:
+        """Returns whether an answer voided a crash, with no new evidence since."""
+        if (
+            fingerprint in self._records
+            or (fingerprint, None) not in self._voided_until
+        ):
+            return False
+        return not self._counts(fingerprint, crash)
+
+    def take_told(
+        self,
+        reports: Iterable[ToldEnd],
+        cleared: Iterable[Fingerprint],
+        *,
+        now: float,
+        sender: str = "",
+        on_new: Callable[[End], None] = lambda crash: None,
+    ) -> bool:
+        """Merges the reports of another instance; returns whether any was new.
+
+        Args:
+          reports: Crashes that it reports.
+          cleared: Requests that were answered.
+          now: Seconds on the local clock.
+          sender: The reporting instance, for the log.
+          on_new: Called with each new crash.
+        """
+        changes = [self.clear(fingerprint, now=now) for fingerprint in cleared]
+        for report in reports:
+            crash = report.to_crash(now=now, sender=sender)
+            apply = self.withdraw if report.withdrawn else self.ended
+            changes.append(apply(report.fingerprint, crash))
+            if changes[-1] and not report.withdrawn:
+                on_new(crash)
+        self.forget_old(now)
+        return any(changes)
+
+    # Verdicts and reports.
+
+    def verdict(
+        self,
+        fingerprint: Fingerprint,
+        *,
+        now: float,
+        pauses_s: Sequence[float] = PAUSES_S,
+    ) -> Verdict:
+        """Returns whether a request may run, or when a trial of it is due.
+
+        Args:
+          fingerprint: The request.
+          now: Seconds on the local clock.
+          pauses_s: Quarantine periods in seconds.
+        """
+        record = self._records.get(fingerprint)
+        if record is None:
+            return FREE
+        crashes = len(record.crashes)
+        if record.quarantined:
+            return self._verdict_in_quarantine(record, now, pauses_s)
+        if record.weight + len(set(record.pending)) * _WEIGHT >= _QUARANTINE_WEIGHT:
+            return Verdict(Standing.HELD, HELD_RETRY_S, crashes)
+        wary = crashes >= _STEADY_ONLY_CRASHES and now - record.last_at < STEADY_ONLY_S
+        return Verdict(Standing.FREE, ends=crashes, wary=wary)
+
+    def _verdict_in_quarantine(
+        self, record: _Record, now: float, pauses_s: Sequence[float]
+    ) -> Verdict:
+        crashes, trial = len(record.crashes), record.trials_failed
+        if trial < len(pauses_s):
+            period_s = pauses_s[trial]
+            if not trial and any(crash.weak for crash in record.crashes):
+                period_s = min(period_s, WEAK_EVIDENCE_PERIOD_S)
+            remaining_s = max(record.last_at, record.trial_at) + period_s - now
+        else:
+            remaining_s = max(0.1, record.last_at + QUARANTINED_RETENTION_S - now)
+        return Verdict(
+            Standing.QUARANTINED,
+            max(0.0, remaining_s),
+            crashes,
+            wary=-remaining_s < STEADY_ONLY_S,
+            overdue_s=max(0.0, -remaining_s),
+        )
+
+    def begin_trial(self, fingerprint: Fingerprint, *, now: float) -> None:
+        """Records that a trial began; the quarantine period starts anew."""
+        self._records[fingerprint].trial_at = now
+
+    def give_back_trial(self, fingerprint: Fingerprint) -> None:
+        """Records that the trial did not take place, so that another is allowed."""
+        if fingerprint in self._records:
+            self._records[fingerprint].trial_at = float("-inf")
+
+    def told(self, *, now: float) -> tuple[ToldEnd, ...]:
+        """Returns reports of the known crashes, for a periodic message."""
+        self.forget_old(now)
+        records = sorted(self._records.items(), key=lambda item: -item[1].weight)
+        return tuple(
+            ToldEnd.of(fingerprint, crash, now=now)
+            for fingerprint, record in records[:MAX_REMINDED_REQUESTS]
+            for crash in record.crashes
+        )
+
+    def ends_of(self, fingerprint: Fingerprint) -> list[End]:
+        """Returns the crashes recorded against a request."""
+        return list(self._records.get(fingerprint, _Record()).crashes)
+
+    def is_quarantined(self, fingerprint: Fingerprint) -> bool:
+        """Returns whether a request is quarantined."""
+        record = self._records.get(fingerprint)
+        return record is not None and record.quarantined
+
+    def upstreams_of(self, fingerprint: Fingerprint) -> list[UpstreamId]:
+        """Returns the upstreams of the recorded crashes, in the same order."""
+        return [crash.upstream for crash in self.ends_of(fingerprint)]
+
+    def quarantined(self, *, now: float) -> dict[Fingerprint, int]:
+        """Returns the quarantined requests, with the number of crashes of each."""
+        return {
+            fingerprint: len(record.crashes)
+            for fingerprint, record in self._records.items()
+            if record.quarantined and now - record.last_at <= QUARANTINED_RETENTION_S
+        }
+
+    # Expiry and eviction.
+
+    def _record(self, fingerprint: Fingerprint) -> _Record:
+        record = self._records.get(fingerprint)
+        if record is None:
+            if len(self._records) >= MAX_REQUESTS:
+                self._evict_lightest()
+            record = self._records[fingerprint] = _Record()
+        return record
+
+    def _is_voided(self, fingerprint: Fingerprint, crash: End) -> bool:
+        """Returns whether a crash is older than an answer or a retraction."""
+        keys = (fingerprint, crash.upstream), (fingerprint, None)
+        return crash.at <= max(
+            self._voided_until.get(key, float("-inf")) for key in keys
+        )
+
+    def _discount(self, fingerprint: Fingerprint, crashes: list[End]) -> None:
+        """Remembers crashes that no longer count, since reports may arrive late."""
+        before = self._discounted.pop(fingerprint, [])
+        self._discounted[fingerprint] = [*before, *crashes][-_MAX_DISCOUNTED:]
+
+    def _counts(self, fingerprint: Fingerprint, crash: End) -> bool:
+        """Returns whether a crash is neither void nor retracted."""
+        discounted = self._discounted.get(fingerprint, ())
+        if self._is_voided(fingerprint, crash):
+            return False
+        return not (crash.number and any(map(crash.is_duplicate_report, discounted)))
+
+    def _drop_if_empty(self, fingerprint: Fingerprint, record: _Record) -> None:
+        if not record.crashes and not record.pending:
+            self._records.pop(fingerprint, None)
+
+    def _evict_lightest(self) -> None:
+        def weight(fingerprint: Fingerprint) -> tuple[int, float]:
+            record = self._records[fingerprint]
+            return record.weight, record.last_at
+
+        del self._records[min(self._records, key=weight)]
+
+    def forget_old(self, now: float) -> None:
+        """Removes expired evidence and enforces the size limits."""
+        for fingerprint, record in list(self._records.items()):
+            retention_s = (
+                QUARANTINED_RETENTION_S if record.quarantined else SUSPECT_RETENTION_S
+            )
+            if record.crashes and now - record.last_at > retention_s:
+                del self._records[fingerprint]
+        while len(self._voided_until) > MAX_REQUESTS:
+            del self._voided_until[next(iter(self._voided_until))]
+        while len(self._discounted) > MAX_REQUESTS:
+            del self._discounted[next(iter(self._discounted))]
