--- a/src/coppercleat/quarantine/_end_watch.py
+++ b/src/coppercleat/quarantine/_end_watch.py
@@ -1,8 +1,8 @@
-"""Finds out whether an upstream ended under the requests whose runs broke off there.
+"""Detects upstream crashes and decides whether the requests involved may run again.
 
-A broken connection alone proves nothing: links are cut, answers garbled, upstreams
-stopped as planned. The upstream is asked: if its host says that nothing listens, or it
-tells of another start, it has ended; if it tells of the same start, it lives.
+A broken connection alone proves no crash: it may be due to the network, a malformed
+response or a planned stop. So the upstream is probed. It crashed if its host refuses
+the connection or it reports another start time; it did not if it reports the same one.
 """
 
 from __future__ import annotations
@@ -30,37 +30,35 @@
 )
 
 PROBE_DELAYS_S = (0.0, 0.05, 0.1, 0.2, 0.4, 0.8, 1.0, 1.0, 1.0)
-"""Pauses before each question. The first finds most; the later ones tell a link that
-refuses for a moment from an upstream that has ended. A question takes 2 ms of network
-and 1 ms of processor time, and comes with a broken connection only."""
+"""Delay before each probe. The later ones tell a crash from a brief refusal."""
 
 PROGRESS_EVIDENCE_S = 0.3
-"""A run that made something for so long speaks for the request: most that end their
-upstreams do so at once."""
+"""A crash is weak evidence if the attempt made progress for this long: most requests that
+crash upstreams do so at once."""
 
 IMMEDIATE_S = 0.05
-"""A run that broke off so soon was hardly begun by its upstream."""
+"""The upstream has hardly begun to process an attempt that is interrupted this soon."""
 
 ABANDONED_WINDOW_S = 1.0
-"""A run that its client left is as suspect if its upstream ends within this time: most
-upstreams end such a run at once, and what it had begun may end them all the same."""
+"""An abandoned attempt is suspect if its upstream crashes within this time, since the
+upstream may not have stopped processing it at once."""
 
 UPDATE_REPEAT_S = 0.5
 UPDATE_REPEATS = 2
-"""Ends are told again so often, since a link may be silent; a silent one is opened anew
-within a second. Who could not be reached for longer gets all when it is heard again."""
+"""Repetitions of an update, in case messages are lost until a stalled link is reopened.
+Instances that were unreachable for longer get the periodic message."""
 
 _MAX_LOGGED_CRASHES = 6
-"""Ends that one line tells, the last ones."""
+"""Limit of crashes in one log line; the last ones are logged."""
 
 _MAX_ABANDONED = 256
-"""Runs that were left and are remembered for a second."""
+"""Limit of abandoned attempts that are remembered."""
 
 _log = part_logger("quarantine")
 
 
 class Finding(enum.Enum):
-    """What a question to an upstream has shown."""
+    """Result of probing an upstream."""
 
     NOTHING_LISTENS = "nothing listens at its address"
     OTHER_LIFE = "it tells of another start"
@@ -70,74 +68,75 @@
 
 
 class Watched(Protocol):
-    """One life of an upstream."""
+    """One incarnation of an upstream: the time from one start to the next."""
 
     @property
     def id(self) -> UpstreamId:
-        """Its id."""
+        """Id of the upstream."""
         ...
 
     @property
     def born_ms(self) -> int:
-        """Tells this life from others of the same id; 0 if unknown."""
+        """Start time, which tells it from other incarnations; 0 if unknown."""
         ...
 
     @property
     def unlisted(self) -> bool:
-        """Whether it is no longer listed, and has not said that it leaves."""
+        """Whether it is no longer listed and did not announce that it would stop."""
         ...
 
     @property
     def stopping(self) -> bool:
-        """Whether it leaves, or has left, as planned."""
+        """Whether it is stopping or has stopped as planned."""
         ...
 
     @property
     def restarted(self) -> bool:
-        """Whether it is known to have started again, which is another life."""
+        """Whether a later incarnation is known."""
         ...
 
     def was_steady(self, *, began: float, at: float) -> bool:
-        """Returns whether it had lived for a while when it ended under a run.
+        """Returns whether it was steady when it crashed during an attempt.
 
         Args:
-          began: When the run began, in trio's time.
-          at: When it broke off.
+          began: Trio time at which the attempt began.
+          at: Trio time at which the attempt was interrupted.
         """
         ...
 
 
 class Asking(Protocol):
-    """A request that wants to be sent to an upstream."""
+    """A request that is to be sent to an upstream."""
 
     @property
     def request_id(self) -> str:
-        """Its id, for the log."""
+        """Id of the request, for the log."""
         ...
 
     @property
     def fingerprint(self) -> Fingerprint:
-        """What it asks."""
+        """Fingerprint of its content."""
         ...
 
 
-_W = TypeVar("_W", bound=Watched)
+_UpstreamT = TypeVar("_UpstreamT", bound=Watched)
 
 _CRASH_PROOFS = frozenset({Finding.NOTHING_LISTENS, Finding.OTHER_LIFE})
 _FINAL_RESULTS = frozenset(
     {Finding.OTHER_LIFE, Finding.SAME_LIFE, Finding.SOMETHING_LISTENS}
 )
-"""Nothing listens also where a link refuses for a moment: it is asked again."""
+"""Results after which probing stops. A refused connection is not among them, since the
+refusal may be brief."""
 
 
 @attrs.frozen
 class _InterruptedAttempt:
-    """A run that broke off, or was left.
+    """An attempt that was interrupted, or abandoned by its client.
 
     Attributes:
-      began: When it was sent to the upstream.
-      at: When it broke off.
-      made_progress: Whether it made something for a while.
+      began: Trio time at which it was sent to the upstream.
+      at: Trio time at which it was interrupted.
+      made_progress: Whether it made progress for ``PROGRESS_EVIDENCE_S``.
     """
 
     began: float
@@ -146,68 +145,71 @@
 
     @property
     def is_immediate(self) -> bool:
-        """Whether it was hardly begun by its upstream."""
+        """Whether it was interrupted before the upstream had done much for it."""
         return self.at - self.began < IMMEDIATE_S
 
 
 @attrs.define(eq=False)
-class _Investigation(Generic[_W]):
-    """What is asked of one life of an upstream.
+class _Investigation(Generic[_UpstreamT]):
+    """Probing of one incarnation of an upstream, and the requests it concerns.
 
     Attributes:
-      suspects: Whose run broke off there.
-      late_suspects: Whose run began after those had broken off, and broke off, too.
-      crashed: Whether it is taken to have ended.
-      proof: What has shown that.
-      proved_at: When that was, in trio's time.
+      state: The incarnation.
+      suspects: Interrupted attempt of each request that may be the cause.
+      late_suspects: Requests whose attempts began after the interruption of those, and
+        were interrupted as well.
+      crashed: Whether a crash is taken as proved.
+      proof: What proved it, for the log.
+      proved_at: Trio time of the proof.
     """
 
-    state: _W
+    state: _UpstreamT
     suspects: dict[Fingerprint, _InterruptedAttempt] = attrs.field(factory=dict)
     late_suspects: set[Fingerprint] = attrs.field(factory=set)
     crashed: bool = False
     proof: str = ""
     proved_at: float = 0.0
 
-    def began_after_crash(self, run: _InterruptedAttempt) -> bool:
-        """Returns whether a run began after others had broken off, and ended at once.
+    def began_after_crash(self, attempt: _InterruptedAttempt) -> bool:
+        """Returns whether an attempt began after the crash and failed immediately.
 
-        Whatever ended the upstream began before. One that lasted may have met its next
-        life, and all may once it is known to have ended.
+        Such an attempt is not the cause. One that lasted longer may have crashed the
+        next incarnation, and so may any once the crash is proved.
         """
-        if self.crashed or not self.suspects or not run.is_immediate:
+        if self.crashed or not self.suspects or not attempt.is_immediate:
             return False
-        return run.began > min(other.at for other in self.suspects.values())
+        return attempt.began > min(other.at for other in self.suspects.values())
 
-    def is_weak_evidence(self, run: _InterruptedAttempt) -> bool:
-        """Returns whether a run may have met nothing but what stands before it.
+    def is_weak_evidence(self, attempt: _InterruptedAttempt) -> bool:
+        """Returns whether an attempt may have reached only a proxy of the upstream.
 
-        Something that takes connections for an upstream and closes them, since there is
-        none, does so in milliseconds, and hides its end until it is back.
+        A proxy in front of a crashed upstream accepts connections and closes them in
+        milliseconds, which hides the crash until the upstream is back.
         """
-        late = self.proved_at - run.at >= SAME_END_S
-        return late and run.is_immediate
+        late = self.proved_at - attempt.at >= SAME_END_S
+        return late and attempt.is_immediate
 
 
-class EndWatch(Generic[_W]):
-    """Keeps the ledger of ends up to date, and tells others of what is found.
+class EndWatch(Generic[_UpstreamT]):
+    """Records crashes found by probes or reported by other instances; gives verdicts.
 
     Attributes:
-      ledger: Ends by request.
-      on_news: Told of ends, and of requests that were cleared, for other instances.
-      may_try: Returns whether this instance is the one to let a trial through, given
-        for how many seconds it has been due.
-      on_barred: Told the standing of each request that was not let through.
-      on_ended: Told of each end of an upstream that is found or heard of, and when the
-        run began that met it, as far as is known.
-      on_withdrawn: Told of each that is taken back.
+      ask: Probes an upstream once.
+      ledger: The crash history.
+      on_news: Called with crash reports and cleared requests for other instances.
+      may_try: Returns whether this instance may run a trial of a request, given the
+        seconds since it became due.
+      on_barred: Called with the kind of the verdict on each request that was blocked.
+      on_ended: Called with each new crash and the time at which the interrupted attempt
+        began, or that of the crash if it is unknown.
+      on_withdrawn: Called with each crash that was a false positive.
     """
 
-    def __init__(self, ask: Callable[[_W], Awaitable[Finding]]) -> None:
-        """Prepares the watch.
+    def __init__(self, ask: Callable[[_UpstreamT], Awaitable[Finding]]) -> None:
+        """Initialises the detector.
 
         Args:
-          ask: Puts one question to an upstream.
+          ask: Probes an upstream once.
         """
         self.ask = ask
         self.ledger = EndLedger()
@@ -218,19 +220,19 @@
             lambda fingerprint, overdue_s: True
         )
         self.on_barred: Callable[[str], None] = lambda standing: None
-        self.on_ended: Callable[[End, float], None] = lambda end, run_began: None
-        self.on_withdrawn: Callable[[End], None] = lambda end: None
-        self._investigations: dict[_W, _Investigation[_W]] = {}
-        self._new_investigations: list[_Investigation[_W]] = []
+        self.on_ended: Callable[[End, float], None] = lambda crash, run_began: None
+        self.on_withdrawn: Callable[[End], None] = lambda crash: None
+        self._investigations: dict[_UpstreamT, _Investigation[_UpstreamT]] = {}
+        self._new_investigations: list[_Investigation[_UpstreamT]] = []
         self._unsent_reports: list[tuple[Fingerprint, End, bool]] = []
         self._unsent_clears: list[Fingerprint] = []
-        self._abandoned: collections.deque[tuple[Fingerprint, _W, float]] = (
+        self._abandoned: collections.deque[tuple[Fingerprint, _UpstreamT, float]] = (
             collections.deque(maxlen=_MAX_ABANDONED)
         )
         self._wake = trio.Event()
 
     async def run(self) -> None:
-        """Asks and tells until cancelled."""
+        """Probes upstreams and sends updates until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 await self._wake.wait()
@@ -242,46 +244,46 @@
                 if self._unsent_reports or self._unsent_clears:
                     nursery.start_soon(self._send_update)
 
-    # What the serving path tells.
+    # Outcomes of attempts, and verdicts.
 
     def broke_off(
         self,
         fingerprint: Fingerprint,
-        state: _W,
+        state: _UpstreamT,
         *,
         began: float | None = None,
         silent: bool = False,
         moved_on_s: float = 0.0,
     ) -> None:
-        """Notes a run that broke off, or fell silent, at an upstream.
+        """Records an attempt that was interrupted, and probes its upstream.
 
-        One that was leaving ends as planned. Silence is less than a broken connection:
-        it holds no request up before the end is proved.
+        Upstreams that are stopping as planned are ignored.
 
         Args:
           fingerprint: The request.
           state: The upstream.
-          began: When the run began, in trio's time; None if unknown.
-          silent: Whether it fell silent.
-          moved_on_s: From its beginning to the last that it made, in seconds.
+          began: Trio time at which the attempt began; None if unknown.
+          silent: Whether the upstream fell silent, with the connection intact. Then the
+            request is not held before a crash is proved.
+          moved_on_s: Seconds from the beginning of the attempt to its last progress.
         """
         now = trio.current_time()
         began = now if began is None else began
-        run = _InterruptedAttempt(began, now, moved_on_s >= PROGRESS_EVIDENCE_S)
-        self._add_suspect(fingerprint, state, run, silent=silent)
+        attempt = _InterruptedAttempt(began, now, moved_on_s >= PROGRESS_EVIDENCE_S)
+        self._add_suspect(fingerprint, state, attempt, silent=silent)
 
     def _add_suspect(
         self,
         fingerprint: Fingerprint,
-        state: _W,
-        run: _InterruptedAttempt,
+        state: _UpstreamT,
+        attempt: _InterruptedAttempt,
         *,
         silent: bool,
     ) -> None:
         if state.stopping:
             return
         investigation = self._investigations.get(state)
-        if investigation is not None and investigation.began_after_crash(run):
+        if investigation is not None and investigation.began_after_crash(attempt):
             self._add_late_suspect(investigation, fingerprint, silent=silent)
             return
         if investigation is None:
@@ -290,7 +292,7 @@
             self._wake.set()
         if fingerprint in investigation.suspects:
             return
-        investigation.suspects[fingerprint] = run
+        investigation.suspects[fingerprint] = attempt
         if investigation.crashed:
             self._record_crash(investigation, fingerprint)
         elif not silent:
@@ -298,22 +300,22 @@
 
     def _add_late_suspect(
         self,
-        investigation: _Investigation[_W],
+        investigation: _Investigation[_UpstreamT],
         fingerprint: Fingerprint,
         *,
         silent: bool,
     ) -> None:
-        """Holds a request up that broke off after others: it may be one more cause."""
+        """Holds a request until the probes are over, as it may be a cause as well."""
         if not silent and fingerprint not in investigation.late_suspects:
             investigation.late_suspects.add(fingerprint)
             self.ledger.broke_off(fingerprint, investigation.state.id)
 
-    def left(self, fingerprint: Fingerprint, state: _W) -> None:
-        """Notes a run that was left before its upstream had answered it."""
+    def left(self, fingerprint: Fingerprint, state: _UpstreamT) -> None:
+        """Records an attempt that its client abandoned before the response."""
         self._abandoned.append((fingerprint, state, trio.current_time()))
 
-    def unreachable(self, state: _W) -> None:
-        """Notes that no connection to an upstream could be made."""
+    def unreachable(self, state: _UpstreamT) -> None:
+        """Records a failed connection; suspects recently abandoned attempts there."""
         for fingerprint, abandoned_at in self._abandoned_before(
             state.id, trio.current_time()
         ):
@@ -322,39 +324,36 @@
             )
 
     def _abandoned_before(
-        self, upstream: UpstreamId, end_at: float
+        self, upstream: UpstreamId, crash_at: float
     ) -> list[tuple[Fingerprint, float]]:
-        """Returns the runs that were left at an upstream shortly before its end."""
+        """Returns the attempts that were abandoned shortly before a crash."""
         return [
             (fingerprint, abandoned_at)
             for fingerprint, state, abandoned_at in self._abandoned
-            if state.id == upstream and 0 <= end_at - abandoned_at <= ABANDONED_WINDOW_S
+            if state.id == upstream
+            and 0 <= crash_at - abandoned_at <= ABANDONED_WINDOW_S
         ]
 
     def note_answer(self, request: Asking) -> None:
-        """Does what ``answered`` does, if anything is held against any request."""
+        """Clears a request that was answered, if there is any evidence at all."""
         if len(self.ledger):
             self.answered(request.fingerprint)
 
     def answered(self, fingerprint: Fingerprint) -> bool:
-        """Notes a run that its upstream has answered: it did not end under it.
-
-        Returns:
-          Whether anything was held against the request.
-        """
-        held = self.ledger.clear(fingerprint, now=trio.current_time())
-        if held:
+        """Clears a request; returns whether there was any evidence against it."""
+        had_evidence = self.ledger.clear(fingerprint, now=trio.current_time())
+        if had_evidence:
             _log.info("A request was cleared.", fingerprint=shown(fingerprint))
             self._unsent_clears.append(fingerprint)
             self._wake.set()
-        return held
+        return had_evidence
 
     def verdict(self, request: Asking, *, item: bool = False) -> Verdict:
         """Returns whether a request may be sent to an upstream now.
 
         Args:
           request: The request.
-          item: Whether it is one of a job, which one instance alone runs.
+          item: Whether it is an item of a batch job, which runs on one instance only.
         """
         if not len(self.ledger):
             return FREE
@@ -371,65 +370,70 @@
         return verdict
 
     def admit(self, request: Asking) -> Verdict:
-        """Does the same for one that is sent at once if it may be; counts a trial."""
+        """Returns the verdict on a request, and begins a trial if that is due."""
         verdict = self.verdict(request)
         if verdict.standing is Standing.TRIAL:
             self.begin_trial(request)
         return verdict
 
     def begin_trial(self, request: Asking) -> None:
-        """Notes that a request whose pause is over is sent to an upstream."""
+        """Records that a trial of a quarantined request is sent to an upstream."""
         self.ledger.begin_trial(request.fingerprint, now=trio.current_time())
         _log.warning(
-            "A trial of a quarantined request.",
+            "Running a trial of a quarantined request.",
             request=request.request_id,
             fingerprint=shown(request.fingerprint),
             ends=len(self.ledger.ends_of(request.fingerprint)),
         )
 
     def not_run(self, request: Asking) -> None:
-        """Notes that a request was sent and not run, so that it had no trial."""
+        """Records that an upstream did not process a request: there was no trial."""
         if len(self.ledger):
             self.ledger.give_back_trial(request.fingerprint)
 
-    # Asking.
+    # Probing.
 
-    async def _investigate(self, investigation: _Investigation[_W]) -> None:
+    async def _investigate(self, investigation: _Investigation[_UpstreamT]) -> None:
         state = investigation.state
         try:
-            for pause_s in PROBE_DELAYS_S:
-                await trio.sleep(pause_s)
+            for delay_s in PROBE_DELAYS_S:
+                await trio.sleep(delay_s)
                 if await self._probe_once(investigation):
                     return
             if state.unlisted:
-                self._record_proof(investigation, "it answers nothing and is unlisted")
+                self._record_proof(
+                    investigation, "it does not respond and is no longer listed"
+                )
         finally:
             self._investigations.pop(state, None)
             for fingerprint in (*investigation.suspects, *investigation.late_suspects):
                 self.ledger.settled(fingerprint, state.id)
             self.ledger.forget_old(trio.current_time())
 
-    async def _probe_once(self, investigation: _Investigation[_W]) -> bool:
-        """Looks once; returns whether nothing more can be learnt."""
+    async def _probe_once(self, investigation: _Investigation[_UpstreamT]) -> bool:
+        """Probes the upstream once; returns whether the result is final."""
         state = investigation.state
         if state.restarted:
-            self._record_proof(investigation, "it has started again")
+            self._record_proof(investigation, "it was restarted")
             return True
         result = await self.ask(state)
         if result in _CRASH_PROOFS:
             self._record_proof(investigation, result.value)
         elif result is Finding.SAME_LIFE and investigation.crashed:
-            # Whatever else answers there now may be what has come after it.
+            # Only the same start time disproves a crash: another process may have the
+            # address by now.
             self._retract(investigation)
         return result in _FINAL_RESULTS
 
-    def _record_proof(self, investigation: _Investigation[_W], proof: str) -> None:
+    def _record_proof(
+        self, investigation: _Investigation[_UpstreamT], proof: str
+    ) -> None:
         if investigation.crashed:
             return
         investigation.crashed = True
         investigation.proof = proof
         investigation.proved_at = trio.current_time()
-        first_at = min(run.at for run in investigation.suspects.values())
+        first_at = min(attempt.at for attempt in investigation.suspects.values())
         for fingerprint, abandoned_at in self._abandoned_before(
             investigation.state.id, first_at
         ):
@@ -437,104 +441,123 @@
                 fingerprint, _abandoned_attempt(abandoned_at)
             )
         _log.warning(
-            "An upstream ended under requests.",
+            "An upstream crashed while processing requests.",
             upstream=investigation.state.id,
             proof=proof,
             requests=len(investigation.suspects),
         )
-        first_began = min(run.began for run in investigation.suspects.values())
-        end = End(investigation.state.id, first_at, investigation.state.born_ms)
-        self.on_ended(end, first_began)
+        first_began = min(attempt.began for attempt in investigation.suspects.values())
+        crash = End(investigation.state.id, first_at, investigation.state.born_ms)
+        self.on_ended(crash, first_began)
         for fingerprint in investigation.suspects:
             self._record_crash(investigation, fingerprint)
 
     def _record_crash(
-        self, investigation: _Investigation[_W], fingerprint: Fingerprint
+        self, investigation: _Investigation[_UpstreamT], fingerprint: Fingerprint
     ) -> None:
         self.ledger.settled(fingerprint, investigation.state.id)
-        end = self._crash_under(investigation, fingerprint)
-        if self.ledger.ended(fingerprint, end):
+        crash = self._crash_under(investigation, fingerprint)
+        if self.ledger.ended(fingerprint, crash):
             self._log_if_quarantined(fingerprint, sender="")
-        self._unsent_reports.append((fingerprint, end, False))
+        self._unsent_reports.append((fingerprint, crash, False))
         self._wake.set()
 
     def _crash_under(
-        self, investigation: _Investigation[_W], fingerprint: Fingerprint
+        self, investigation: _Investigation[_UpstreamT], fingerprint: Fingerprint
     ) -> End:
-        """Returns the upstream's end, if it has ended, under one of the suspects."""
-        state, run = investigation.state, investigation.suspects[fingerprint]
-        steady = state.was_steady(began=run.began, at=run.at)
-        weak = run.made_progress or not steady or investigation.is_weak_evidence(run)
-        end = End(
-            state.id, run.at, state.born_ms, weak=weak, source=investigation.proof
+        """Returns the crash as evidence against one of the suspects."""
+        state, attempt = investigation.state, investigation.suspects[fingerprint]
+        steady = state.was_steady(began=attempt.began, at=attempt.at)
+        weak = (
+            attempt.made_progress
+            or not steady
+            or investigation.is_weak_evidence(attempt)
+        )
+        crash = End(
+            state.id, attempt.at, state.born_ms, weak=weak, source=investigation.proof
         )
-        return self.ledger.identified(fingerprint, end, run_began=run.began)
+        return self.ledger.identified(fingerprint, crash, run_began=attempt.began)
 
-    def _retract(self, investigation: _Investigation[_W]) -> None:
-        """Takes an end back: the link to the upstream had refused for a moment."""
-        _log.warning("An upstream lives after all.", upstream=investigation.state.id)
+    def _retract(self, investigation: _Investigation[_UpstreamT]) -> None:
+        """Retracts the crash: the upstream had only refused connections briefly."""
+        _log.warning(
+            "An upstream crash was a false positive.", upstream=investigation.state.id
+        )
         for fingerprint in investigation.suspects:
-            end = self._crash_under(investigation, fingerprint)
-            self.ledger.withdraw(fingerprint, end)
-            self.on_withdrawn(end)
-            self._unsent_reports.append((fingerprint, end, True))
+            crash = self._crash_under(investigation, fingerprint)
+            self.ledger.withdraw(fingerprint, crash)
+            self.on_withdrawn(crash)
+            self._unsent_reports.append((fingerprint, crash, True))
         self._wake.set()
 
-    # Telling and hearing.
+    # Updates between instances.
 
     async def _send_update(self) -> None:
-        untold, self._unsent_reports = self._unsent_reports, []
+        unsent, self._unsent_reports = self._unsent_reports, []
         cleared, self._unsent_clears = tuple(self._unsent_clears), []
         for repeat in range(UPDATE_REPEATS + 1):
             if repeat:
                 await trio.sleep(UPDATE_REPEAT_S)
             now = trio.current_time()
-            ends = tuple(
-                ToldEnd.of(fingerprint, end, now=now, withdrawn=withdrawn)
-                for fingerprint, end, withdrawn in untold
+            reports = tuple(
+                ToldEnd.of(fingerprint, crash, now=now, withdrawn=withdrawn)
+                for fingerprint, crash, withdrawn in unsent
             )
-            # What was cleared is not told again: it may have become suspect since.
-            self.on_news(ends, () if repeat else cleared)
+            # Clears are not repeated: the request may have become suspect again.
+            self.on_news(reports, () if repeat else cleared)
 
     def take_news(
-        self, sender: str, ends: tuple[ToldEnd, ...], cleared: tuple[Fingerprint, ...]
+        self,
+        sender: str,
+        reports: tuple[ToldEnd, ...],
+        cleared: tuple[Fingerprint, ...],
     ) -> bool:
-        """Takes what another instance has found; returns whether it is news."""
+        """Applies another instance's update; returns whether any of it was new.
+
+        Args:
+          sender: The other instance.
+          reports: Crashes that it reports.
+          cleared: Requests that were answered.
+        """
         now = trio.current_time()
         before = self.ledger.quarantined(now=now)
-        news = self.ledger.take_told(
-            ends,
+        changed = self.ledger.take_told(
+            reports,
             cleared,
             now=now,
             sender=sender,
-            on_new=lambda end: self.on_ended(end, end.at),
+            on_new=lambda crash: self.on_ended(crash, crash.at),
         )
-        for told in ends:
-            end = told.to_crash(now=now)
-            if told.withdrawn:
-                self.on_withdrawn(end)
-            elif self.ledger.was_answered(told.fingerprint, end):
-                # The teller has missed that.
-                self._resend_clear(told.fingerprint)
+        for report in reports:
+            crash = report.to_crash(now=now)
+            if report.withdrawn:
+                self.on_withdrawn(crash)
+            elif self.ledger.was_answered(report.fingerprint, crash):
+                # The sender missed that the request was cleared.
+                self._resend_clear(report.fingerprint)
             else:
-                self._record_abandoned_crashes(end)
+                self._record_abandoned_crashes(crash)
         for fingerprint in self.ledger.quarantined(now=now).keys() - before.keys():
             self._log_if_quarantined(fingerprint, sender=sender)
-        return news
+        return changed
 
     def _resend_clear(self, fingerprint: Fingerprint) -> None:
         if fingerprint not in self._unsent_clears:
             self._unsent_clears.append(fingerprint)
             self._wake.set()
 
-    def _record_abandoned_crashes(self, end: End) -> None:
-        """Takes an end that another found as one of the runs that were left there."""
-        seen = attrs.evolve(end, number=0)
-        for fingerprint, abandoned_at in self._abandoned_before(end.upstream, end.at):
-            left = self.ledger.identified(fingerprint, seen, run_began=abandoned_at)
-            if self.ledger.ended(fingerprint, left):
+    def _record_abandoned_crashes(self, crash: End) -> None:
+        """Records a reported crash against attempts abandoned there shortly before."""
+        unnumbered = attrs.evolve(crash, number=0)
+        for fingerprint, abandoned_at in self._abandoned_before(
+            crash.upstream, crash.at
+        ):
+            own = self.ledger.identified(
+                fingerprint, unnumbered, run_began=abandoned_at
+            )
+            if self.ledger.ended(fingerprint, own):
                 self._log_if_quarantined(fingerprint, sender="")
-                self._unsent_reports.append((fingerprint, left, False))
+                self._unsent_reports.append((fingerprint, own, False))
                 self._wake.set()
 
     def _log_if_quarantined(self, fingerprint: Fingerprint, *, sender: str) -> None:
@@ -542,30 +565,30 @@
         verdict = self.ledger.verdict(fingerprint, now=now)
         if verdict.standing is not Standing.QUARANTINED:
             return
-        ends = self.ledger.ends_of(fingerprint)[-_MAX_LOGGED_CRASHES:]
+        crashes = self.ledger.ends_of(fingerprint)[-_MAX_LOGGED_CRASHES:]
         _log.warning(
             "A request is quarantined.",
             fingerprint=shown(fingerprint),
             ends=verdict.ends,
             upstreams=self.ledger.upstreams_of(fingerprint)[-_MAX_LOGGED_CRASHES:],
-            met=[_crash_log_fields(end, now=now) for end in ends],
+            met=[_crash_log_fields(crash, now=now) for crash in crashes],
             teller=sender,
             retry_after_s=round(verdict.retry_after_s, 1),
         )
 
 
-def _crash_log_fields(end: End, *, now: float) -> dict[str, object]:
-    """Returns an end as a line tells it, so that one told twice can be seen."""
+def _crash_log_fields(crash: End, *, now: float) -> dict[str, object]:
+    """Returns the log fields of a crash, by which duplicates can be recognised."""
     return {
-        "upstream": end.upstream,
-        "number": end.number,
-        "born_ms": end.born_ms,
-        "age_s": round(now - end.at, 2),
-        "weak": end.weak,
-        "source": end.source,
+        "upstream": crash.upstream,
+        "number": crash.number,
+        "born_ms": crash.born_ms,
+        "age_s": round(now - crash.at, 2),
+        "weak": crash.weak,
+        "source": crash.source,
     }
 
 
 def _abandoned_attempt(abandoned_at: float) -> _InterruptedAttempt:
-    """Returns a run that was left, of whose beginning nothing is kept."""
+    """Returns an abandoned attempt; the time at which it began is not known."""
     return _InterruptedAttempt(abandoned_at, abandoned_at)
