--- a/src/coppercleat/admin/_application.py
+++ b/src/coppercleat/admin/_application.py
@@ -74,8 +74,8 @@
         if scope["type"] == "lifespan":
             await serve_lifespan(receive, send)
             return
-        if scope["path"] == quarantine.PAGE:
-            await quarantine.serve_page(instance.end_watch, scope, send)
+        if scope["path"] == quarantine.QUARANTINE_PATH:
+            await quarantine.serve_quarantine(instance.crash_detector, scope, send)
             return
         page = PAGES.get(scope["path"])
         query = parse_qs(scope.get("query_string", b"").decode("latin-1"))
--- a/src/coppercleat/cli/_quarantine.py
+++ b/src/coppercleat/cli/_quarantine.py
@@ -11,7 +11,7 @@
 
 from coppercleat import clock
 from coppercleat.cli._registry import ExitCode, command
-from coppercleat.quarantine import PAGE
+from coppercleat.quarantine import QUARANTINE_PATH
 
 _DEFAULT_ADMIN = "127.0.0.1:7401"
 
@@ -35,7 +35,7 @@
 )
 def quarantine(values: flags.FlagValues, arguments: Sequence[str]) -> int:
     """Runs ``quarantine``."""
-    url = f"http://{values.admin}{PAGE}"
+    url = f"http://{values.admin}{QUARANTINE_PATH}"
     method = "DELETE" if values.clear else "GET"
     if values.clear:
         url += f"?fingerprint={values.clear}"
--- a/src/coppercleat/gateway/_gateway.py
+++ b/src/coppercleat/gateway/_gateway.py
@@ -16,12 +16,12 @@
 from coppercleat.observability import part_logger
 from coppercleat.quarantine import (
     TRIAL_STAGGER_S,
-    EndKeeper,
-    EndsSeen,
-    EndWatch,
+    CrashDetector,
+    CrashReport,
+    CrashUpdate,
     Fingerprint,
-    ToldEnd,
-    shown,
+    QuarantineStore,
+    format_fingerprint,
 )
 from coppercleat.routing import ranked
 from coppercleat.serving import (
@@ -118,16 +118,16 @@
         )
         self.survey = Survey(self.placement, caller, rng=self.rng)
         self.silent_runs = SilentRuns()
-        self.end_watch = EndWatch(life_question(caller))
-        self.end_keeper = EndKeeper(
-            self.end_watch.ledger, clock=time.time, keeps=self._keeps
+        self.crash_detector = CrashDetector(life_question(caller))
+        self.quarantine_store = QuarantineStore(
+            self.crash_detector.history, clock=time.time, should_store=self._keeps
         )
         self.forwarder = Forwarder(
             self.admission,
             caller,
             on_end=metrics.request_ended,
             silent_runs=self.silent_runs,
-            end_watch=self.end_watch,
+            crash_detector=self.crash_detector,
         )
         self.job_index = JobIndex(platform)
         repository = JobRepository(platform, clock=time.time, rng=self.rng)
@@ -138,7 +138,7 @@
             on_change=self._work_changed,
             on_end=metrics.item_run_ended,
             silent_runs=self.silent_runs,
-            end_watch=self.end_watch,
+            crash_detector=self.crash_detector,
         )
         self.worker = JobWorker(
             repository,
@@ -187,29 +187,29 @@
         self.peers.on_peer_dropped = self.survey.doubt
         self.peers.on_taken = self.worker.taken_elsewhere
         self.peers.on_handover = self.worker.handed_over
-        self.watch.kept_ends = self.end_keeper.to_keep
-        self.watch.on_kept_ends = self.end_keeper.take_kept
+        self.watch.kept_ends = self.quarantine_store.export_records
+        self.watch.on_kept_ends = self.quarantine_store.import_records
         self.peers.ends = self._ends
         self.peers.on_ends = self._hear_of_ends
-        self.end_watch.on_news = self.peers.ends_found
-        self.end_watch.on_ended = self.placement.note_end
-        self.end_watch.on_withdrawn = self.placement.take_back_end
-        self.end_watch.may_try = self._tries
-        self.end_watch.on_barred = self.metrics.request_barred
+        self.crash_detector.on_update = self.peers.ends_found
+        self.crash_detector.on_crash = self.placement.note_end
+        self.crash_detector.on_crash_retracted = self.placement.take_back_end
+        self.crash_detector.may_run_trial = self._tries
+        self.crash_detector.on_blocked = self.metrics.request_barred
         self.survey.on_change = self._unknown_changed
         self.silent_runs.on_left = self.survey.left_unheard
         self.silent_runs.on_count = self.metrics.run_silent
 
-    def _hear_of_ends(self, sender: InstanceId, seen: EndsSeen) -> bool:
-        return self.end_watch.take_news(sender, seen.ends, seen.cleared)
+    def _hear_of_ends(self, sender: InstanceId, seen: CrashUpdate) -> bool:
+        return self.crash_detector.apply_update(sender, seen.reports, seen.cleared)
 
-    def _ends(self) -> tuple[ToldEnd, ...]:
-        return self.end_watch.ledger.told(now=trio.current_time())
+    def _ends(self) -> tuple[CrashReport, ...]:
+        return self.crash_detector.history.crash_reports(now=trio.current_time())
 
     def _ranked(self, fingerprint: Fingerprint) -> list[str]:
         """Returns all living instances, in an order that they agree on."""
         living = [self.settings.instance, *self.peers.others()]
-        return ranked(shown(fingerprint), living)
+        return ranked(format_fingerprint(fingerprint), living)
 
     def _tries(self, fingerprint: Fingerprint, overdue_s: float) -> bool:
         """Returns whether a trial of a request falls to this instance.
@@ -273,7 +273,7 @@
             nursery.start_soon(self.admission.run)
             nursery.start_soon(self.forwarder.silence.run)
             nursery.start_soon(self.survey.run)
-            nursery.start_soon(self.end_watch.run)
+            nursery.start_soon(self.crash_detector.run)
             nursery.start_soon(self.items.end_silent)
             nursery.start_soon(self.worker.run)
             nursery.start_soon(self.sweeper.run)
@@ -308,7 +308,7 @@
         metrics.peers_silent.set({}, self.peers.silenced)
         for reason, count in self.peers.dropped.counts.items():
             metrics.garbage.set({"reason": reason}, count)
-        quarantined = self.end_watch.ledger.quarantined(now=trio.current_time())
+        quarantined = self.crash_detector.history.quarantined(now=trio.current_time())
         metrics.quarantined.set({}, len(quarantined))
         states = self.placement.states.values()
         metrics.unknown_runs.set({}, sum(state.unknown for state in states))
--- a/src/coppercleat/instance/_instance.py
+++ b/src/coppercleat/instance/_instance.py
@@ -22,10 +22,10 @@
 from coppercleat.platform import StoreClient
 from coppercleat.quarantine import (
     TRIAL_STAGGER_S,
-    EndWatch,
-    Finding,
+    CrashDetector,
     Fingerprint,
-    shown,
+    ProbeResult,
+    format_fingerprint,
 )
 from coppercleat.routing import UpstreamRecord, ranked
 from coppercleat.settings import Settings
@@ -121,13 +121,13 @@
             engines=self.fleet,
             metrics=self.metrics,
         )
-        self.end_watch = EndWatch(self._look_at)
-        self.end_watch.on_news = self.peers.spread_ends
-        self.end_watch.may_try = self._tries
-        self.end_watch.on_barred = lambda standing: self.metrics.barred.inc(
+        self.crash_detector = CrashDetector(self._look_at)
+        self.crash_detector.on_update = self.peers.spread_ends
+        self.crash_detector.may_run_trial = self._tries
+        self.crash_detector.on_blocked = lambda standing: self.metrics.barred.inc(
             {"standing": standing}
         )
-        self.peers.end_watch = self.end_watch
+        self.peers.crash_detector = self.crash_detector
         self.pipeline = Pipeline(self._online_services())
         self.fleet.on_leaving = self.peers.spread_leaving
         self.peers.on_arrivals = self.batch.online_changed
@@ -160,15 +160,15 @@
             live_instances=self.live_instances,
             online_changed=self._online_changed,
             batch_active=lambda: self.batch.state.open_jobs > 0,
-            end_watch=self.end_watch,
+            crash_detector=self.crash_detector,
             stall_s=online.stall_s,
         )
 
-    async def _look_at(self, record: UpstreamRecord) -> Finding:
+    async def _look_at(self, record: UpstreamRecord) -> ProbeResult:
         try:
             client = self.fleet.online_client(record.upstream)
         except KeyError:
-            return Finding.NO_ANSWER  # No longer followed.
+            return ProbeResult.NO_ANSWER  # No longer followed.
         return await client.look()
 
     def _tries(self, fingerprint: Fingerprint, overdue_s: float) -> bool:
@@ -177,7 +177,7 @@
         The first in line may not be asked for it, so the next ones step in.
         """
         own = self.settings.instance.instance_id
-        place = ranked(shown(fingerprint), self.fleet.alive()).index(own)
+        place = ranked(format_fingerprint(fingerprint), self.fleet.alive()).index(own)
         return overdue_s >= place * TRIAL_STAGGER_S
 
     def _spread_changes(self, changes: list[Change]) -> None:
@@ -218,7 +218,7 @@
             nursery.start_soon(self.peers.run)
             nursery.start_soon(self.batch.run)
             nursery.start_soon(self.orders.run)
-            nursery.start_soon(self.end_watch.run)
+            nursery.start_soon(self.crash_detector.run)
             while not self.ready:
                 await trio.sleep(_READY_POLL_S)
             _log.info("Instance ready.", instance=self.settings.instance.id)
--- a/src/coppercleat/instance/_peers.py
+++ b/src/coppercleat/instance/_peers.py
@@ -27,7 +27,7 @@
     UpstreamLeaving,
 )
 from coppercleat.observability import Metrics, part_logger
-from coppercleat.quarantine import EndsSeen, EndWatch, Fingerprint, ToldEnd
+from coppercleat.quarantine import CrashDetector, CrashReport, CrashUpdate, Fingerprint
 from coppercleat.routing import UpstreamRecord
 from coppercleat.settings import Settings
 
@@ -50,7 +50,7 @@
       messenger: Sends to other instances and receives.
       on_arrivals: Told of upstreams whose online requests changed.
       on_job_hint: Told to look for jobs now.
-      end_watch: Knows requests that end their upstreams; None before it is set.
+      crash_detector: Knows requests that end their upstreams; None before it is set.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
             on_garbage=lambda reason: metrics.garbage.inc({"reason": reason}),
             on_reopened=self._tell_again,
         )
-        self.end_watch: EndWatch[UpstreamRecord] | None = None
+        self.crash_detector: CrashDetector[UpstreamRecord] | None = None
         self._pulled_at = float("-inf")
         self._told: dict[UpstreamId, int] = {}
         self._departed: set[UpstreamId] = set()
@@ -149,17 +149,21 @@
         self.send_all(UpstreamLeaving(upstream))
 
     def spread_ends(
-        self, ends: tuple[ToldEnd, ...], cleared: tuple[Fingerprint, ...]
+        self, ends: tuple[CrashReport, ...], cleared: tuple[Fingerprint, ...]
     ) -> None:
         """Spreads that upstreams ended under requests."""
-        self.send_all(EndsSeen(ends, cleared))
+        self.send_all(CrashUpdate(ends, cleared))
 
     def _remind_one(self, now: float) -> None:
         """Tells a member by chance what it may have missed."""
         others = self.detector.alive(now)[1:]
-        ends = self.end_watch.ledger.told(now=now) if self.end_watch else ()
+        ends = (
+            self.crash_detector.history.crash_reports(now=now)
+            if self.crash_detector
+            else ()
+        )
         if others and ends:
-            self.messenger.send(self.fleet.rng.choice(others), EndsSeen(ends))
+            self.messenger.send(self.fleet.rng.choice(others), CrashUpdate(ends))
 
     def hint_job(self, job: JobId) -> None:
         """Tells members to look for jobs now."""
@@ -258,10 +262,10 @@
         if self.fleet.table.mark_leaving(message.upstream):
             self.spread_leaving(message.upstream)
 
-    @_handlers.handles(EndsSeen)
-    def _on_ends(self, sender: InstanceId, seen: EndsSeen) -> None:
-        watch = self.end_watch
-        if watch and watch.take_news(sender, seen.ends, seen.cleared):
+    @_handlers.handles(CrashUpdate)
+    def _on_ends(self, sender: InstanceId, seen: CrashUpdate) -> None:
+        watch = self.crash_detector
+        if watch and watch.apply_update(sender, seen.reports, seen.cleared):
             self.send_all(seen)
 
     @_handlers.handles(JobHint)
--- a/src/coppercleat/jobs/_item_bar.py
+++ b/src/coppercleat/jobs/_item_bar.py
@@ -8,7 +8,12 @@
 
 from coppercleat.jobs._run import Barred, ItemRun, JobRun
 from coppercleat.observability import part_logger
-from coppercleat.quarantine import EndWatch, Standing, Verdict, shown
+from coppercleat.quarantine import (
+    CrashDetector,
+    Verdict,
+    VerdictKind,
+    format_fingerprint,
+)
 from coppercleat.serving import Placement, Route, UpstreamState
 
 _SLOT_RETRY_S = 0.25
@@ -24,20 +29,20 @@
     """Asks for the verdict on items, and has those wait that may not run."""
 
     def __init__(
-        self, end_watch: EndWatch[UpstreamState], placement: Placement
+        self, crash_detector: CrashDetector[UpstreamState], placement: Placement
     ) -> None:
         """Prepares the bar.
 
         Args:
-          end_watch: Knows requests that end their upstreams.
+          crash_detector: Knows requests that end their upstreams.
           placement: Knows which upstreams are steady.
         """
-        self.end_watch = end_watch
+        self.crash_detector = crash_detector
         self.placement = placement
 
     def verdict(self, run: JobRun, item: ItemRun) -> Verdict:
         """Returns whether an item may run, as far as upstreams ended under it."""
-        return self.end_watch.verdict(run.request_of(item), item=True)
+        return self.crash_detector.verdict(run.request_of(item), item=True)
 
     def holds(self, route: Route, verdict: Verdict) -> bool:
         """Returns whether an item that has found no slot waits for more than a slot."""
@@ -51,12 +56,12 @@
         """
         now, service = trio.current_time(), route.targets[0].service
         avoid = self.placement.to_avoid(verdict, service, now=now)
-        if not avoid and verdict.standing is not Standing.TRIAL:
+        if not avoid and verdict.kind is not VerdictKind.TRIAL:
             return None
         wait_s = _SLOT_RETRY_S
         if not self.placement.serves(service, avoid=avoid):
             wait_s = max(wait_s, self.placement.steady_in_s(service, now=now))
-        return Verdict(Standing.UNSTEADY, wait_s, verdict.ends)
+        return Verdict(VerdictKind.UNSTEADY, wait_s, verdict.crashes)
 
     def pass_over(
         self,
@@ -119,7 +124,7 @@
         item.barred = Barred(verdict=verdict, since=since, until=until)
         if before is not None and not before.is_news(verdict):
             return
-        self.end_watch.on_barred(verdict.standing.value)
+        self.crash_detector.on_blocked(verdict.kind.value)
         done_in_s = verdict.retry_after_s + takes_s
         # It is the only word of an item that nothing may work on until its time is up.
         write = _log.warning if done_in_s > due_in_s else _log.info
@@ -127,9 +132,9 @@
             "An item is kept from running.",
             job=run.held.row.job,
             item=item.spec.id,
-            fingerprint=shown(run.request_of(item).fingerprint),
-            standing=verdict.standing.value,
-            ends=verdict.ends,
+            fingerprint=format_fingerprint(run.request_of(item).fingerprint),
+            standing=verdict.kind.value,
+            ends=verdict.crashes,
             retry_after_s=round(verdict.retry_after_s, 1),
             due_in_s=round(due_in_s, 1),
             late=done_in_s > due_in_s,
--- a/src/coppercleat/jobs/_items.py
+++ b/src/coppercleat/jobs/_items.py
@@ -13,7 +13,13 @@
 from coppercleat.jobs._pace import ItemPace
 from coppercleat.jobs._run import ItemEnd, ItemRun, JobRun
 from coppercleat.observability import part_logger
-from coppercleat.quarantine import FREE, EndWatch, Standing, Verdict, shown
+from coppercleat.quarantine import (
+    FREE,
+    CrashDetector,
+    Verdict,
+    VerdictKind,
+    format_fingerprint,
+)
 from coppercleat.serving import (
     EventSequence,
     EventSplitter,
@@ -101,7 +107,7 @@
         on_change: Callable[[UpstreamState, bool], None],
         on_end: Callable[[str], None],
         silent_runs: SilentRuns | None = None,
-        end_watch: EndWatch[UpstreamState] | None = None,
+        crash_detector: CrashDetector[UpstreamState] | None = None,
     ) -> None:
         """Prepares the runner.
 
@@ -112,14 +118,14 @@
           on_change: Told of each run that starts (True) or ends (False).
           on_end: Told how each run ended.
           silent_runs: Told of runs that were left while unheard; None for its own.
-          end_watch: Knows requests that end their upstreams; None for its own.
+          crash_detector: Knows requests that end their upstreams; None for its own.
         """
         self.placement = placement
         self.caller = caller
         self.instance = instance
         self.silent_runs = silent_runs or SilentRuns()
-        self.end_watch = end_watch or EndWatch(life_question(caller))
-        self.bar = ItemBar(self.end_watch, placement)
+        self.crash_detector = crash_detector or CrashDetector(life_question(caller))
+        self.bar = ItemBar(self.crash_detector, placement)
         self.on_change = on_change
         self.on_end = on_end
         self._running: list[Running] = []
@@ -158,7 +164,7 @@
         service = route.targets[0].service
         shun = self.placement.to_avoid(verdict, service, now=now)
         suspects = {r.state.id for r in self._running if r.suspect}
-        if verdict.standing is Standing.TRIAL:
+        if verdict.kind is VerdictKind.TRIAL:
             # An end would count against both, and keep a proper one for longer.
             shun |= suspects
         ahead = self.placement.order.ahead(own, service=service, now=now)
@@ -170,7 +176,7 @@
                 now=now,
                 ahead=ahead,
                 shun=shun,
-                apart=suspects if verdict.ends else (),
+                apart=suspects if verdict.crashes else (),
             )
             if not isinstance(state, Nowhere):
                 self._patience.reset()
@@ -219,10 +225,10 @@
     ) -> Running:
         """Counts a run before anything else can be placed."""
         request = run.request_of(item)
-        if verdict.standing is Standing.TRIAL:
-            self.end_watch.begin_trial(request)
+        if verdict.kind is VerdictKind.TRIAL:
+            self.crash_detector.begin_trial(request)
         running = Running(run, item, request, state, trio.CancelScope())
-        running.suspect = verdict.ends > 0
+        running.suspect = verdict.crashes > 0
         run.start(item, state.id)
         self._running.append(running)
         state.batch += 1
@@ -264,7 +270,9 @@
             "Item run ended.",
             job=run.held.row.job,
             item=item.spec.id,
-            fingerprint=shown(running.request.fingerprint) if broke else None,
+            fingerprint=format_fingerprint(running.request.fingerprint)
+            if broke
+            else None,
             upstream=state.id,
             ended=end.value,
             events=len(item.events),
@@ -275,19 +283,19 @@
         """Notes whether the upstream may have ended under the item."""
         silent = running.silent_since is not None
         if end in (ItemEnd.COMPLETE, ItemEnd.FAILED, ItemEnd.IMPOSSIBLE):
-            self.end_watch.note_answer(running.request)
+            self.crash_detector.record_response(running.request)
         elif end in (ItemEnd.NOT_RUN, ItemEnd.YIELDED):
-            self.end_watch.not_run(running.request)
+            self.crash_detector.cancel_trial(running.request)
         elif attempt.state is not AttemptState.QUEUED and (
             silent or running.disconnected
         ):
             fingerprint = running.request.fingerprint
-            self.end_watch.broke_off(
+            self.crash_detector.record_interruption(
                 fingerprint,
                 running.state,
                 began=running.began_at,
                 silent=silent,
-                moved_on_s=running.heard_at - running.began_at,
+                progress_s=running.heard_at - running.began_at,
             )
 
     @contextlib.contextmanager
--- a/src/coppercleat/jobs/_run.py
+++ b/src/coppercleat/jobs/_run.py
@@ -39,8 +39,8 @@
 
     def is_news(self, verdict: Verdict) -> bool:
         """Returns whether a later verdict differs by more than the time left."""
-        before = (self.verdict.standing, self.verdict.ends)
-        return (verdict.standing, verdict.ends) != before
+        before = (self.verdict.kind, self.verdict.crashes)
+        return (verdict.kind, verdict.crashes) != before
 
 
 @attrs.define(eq=False, kw_only=True)
--- a/src/coppercleat/membership/_messages.py
+++ b/src/coppercleat/membership/_messages.py
@@ -8,7 +8,7 @@
 
 from coppercleat.configuration import Change, Snapshot
 from coppercleat.ids import InstanceId, JobId, Revision, UpstreamId, ZoneId
-from coppercleat.quarantine import EndsSeen
+from coppercleat.quarantine import CrashUpdate
 from coppercleat.storage import Node
 
 _MAX_MEMBERS = 64
@@ -102,5 +102,5 @@
     | OnlineArrivals
     | UpstreamLeaving
     | JobHint
-    | EndsSeen
+    | CrashUpdate
 )
--- a/src/coppercleat/online/_dispatch.py
+++ b/src/coppercleat/online/_dispatch.py
@@ -19,7 +19,7 @@
 from coppercleat.observability import part_logger
 from coppercleat.online._exchange import Call, Chunk, Exchange, Infer
 from coppercleat.online._services import OnlineServices
-from coppercleat.quarantine import Standing
+from coppercleat.quarantine import VerdictKind
 from coppercleat.routing import Choice, NoUpstream, UpstreamRecord, Wanted, choose
 from coppercleat.upstreams import Attempt, AttemptState, EngineRequest
 
@@ -68,12 +68,12 @@
 
     def _require_not_barred(self, exchange: Exchange) -> None:
         """Returns if no upstreams have ended under the request, raises otherwise."""
-        verdict = self.services.end_watch.admit(exchange)
+        verdict = self.services.crash_detector.admit(exchange)
         if verdict.may_run:
             return
         raise UpstreamUnavailableError(
-            f"{verdict.ends} upstreams ended while they ran this request"
-            if verdict.standing is Standing.QUARANTINED
+            f"{verdict.crashes} upstreams ended while they ran this request"
+            if verdict.kind is VerdictKind.QUARANTINED
             else "Upstreams may have ended while they ran this request",
             outcome=_outcome(exchange),
             retry_after_ms=round(1000 * verdict.retry_after_s),
@@ -124,7 +124,7 @@
                 async for chunk in self._until(chunks, exchange, attempt):
                     yield chunk
             record.health.succeeded()
-            self.services.end_watch.note_answer(exchange)
+            self.services.crash_detector.record_response(exchange)
 
     @contextlib.contextmanager
     def _count(self, record: UpstreamRecord) -> Iterator[None]:
@@ -227,11 +227,13 @@
         self, exchange: Exchange, record: UpstreamRecord, attempt: Attempt
     ) -> None:
         """Has the upstream asked whether it ended under the request."""
-        watch, began = self.services.end_watch, exchange.sent_at
+        watch, began = self.services.crash_detector, exchange.sent_at
         if attempt.state is AttemptState.LOST:
-            watch.broke_off(exchange.fingerprint, record, began=began)
+            watch.record_interruption(exchange.fingerprint, record, began=began)
         elif attempt.state is AttemptState.SENT:
-            watch.broke_off(exchange.fingerprint, record, began=began, silent=True)
+            watch.record_interruption(
+                exchange.fingerprint, record, began=began, silent=True
+            )
 
     def _require_retry(
         self, exchange: Exchange, attempt: Attempt, error: CoppercleatError
--- a/src/coppercleat/online/_services.py
+++ b/src/coppercleat/online/_services.py
@@ -13,7 +13,7 @@
 from coppercleat.limits import Admission, RetryBudget, TenantLimiter
 from coppercleat.observability import Metrics
 from coppercleat.online._claims import AnswerStore
-from coppercleat.quarantine import EndWatch
+from coppercleat.quarantine import CrashDetector
 from coppercleat.routing import RoutingTable, UpstreamRecord
 from coppercleat.upstreams import UpstreamClient
 
@@ -34,7 +34,7 @@
       live_instances: Gives the number of instances thought alive.
       online_changed: Told when online requests on an upstream changed.
       batch_active: Tells whether batch jobs are open.
-      end_watch: Knows requests that end their upstreams.
+      crash_detector: Knows requests that end their upstreams.
       stall_s: Seconds without a token after which an engine counts as hung.
     """
 
@@ -51,5 +51,5 @@
     live_instances: Callable[[], int]
     online_changed: Callable[[UpstreamId], None]
     batch_active: Callable[[], bool]
-    end_watch: EndWatch[UpstreamRecord]
+    crash_detector: CrashDetector[UpstreamRecord]
     stall_s: float
--- a/src/coppercleat/platform/_ingress.py
+++ b/src/coppercleat/platform/_ingress.py
@@ -217,7 +217,7 @@
             await reply.whole(200 if self.gateway.ready else 503, [TEXT], b"")
         elif scope["path"] == Path.METRICS:
             await reply.whole(200, [TEXT], self.gateway.render_metrics())
-        elif scope["path"] == quarantine.PAGE:
-            await quarantine.serve_page(self.gateway.end_watch, scope, send)
+        elif scope["path"] == quarantine.QUARANTINE_PATH:
+            await quarantine.serve_quarantine(self.gateway.crash_detector, scope, send)
         else:
             await reply.whole(404, [TEXT], b"no such page")
--- a/src/coppercleat/quarantine/__init__.py
+++ b/src/coppercleat/quarantine/__init__.py
@@ -1,41 +1,55 @@
-"""Finds requests that end the upstreams that run them, and keeps them from more."""
+"""Detects requests that crash upstreams ("queries of death") and quarantines them."""
 
-from coppercleat.quarantine._end_keeper import EndKeeper, KeptEnds
-from coppercleat.quarantine._end_watch import Asking, EndWatch, Finding, Watched
-from coppercleat.quarantine._ends import SAME_END_S, End, EndsSeen, ToldEnd
-from coppercleat.quarantine._fingerprint import Fingerprint, fingerprint_of, shown
+from coppercleat.quarantine._end_keeper import QuarantineRecord, QuarantineStore
+from coppercleat.quarantine._end_watch import (
+    CrashDetector,
+    FingerprintedRequest,
+    ProbeResult,
+    UpstreamIncarnation,
+)
+from coppercleat.quarantine._ends import (
+    SAME_CRASH_WINDOW_S,
+    Crash,
+    CrashReport,
+    CrashUpdate,
+)
+from coppercleat.quarantine._fingerprint import (
+    Fingerprint,
+    fingerprint_of,
+    format_fingerprint,
+)
 from coppercleat.quarantine._ledger import (
     FREE,
     HELD_RETRY_S,
-    ITEM_PAUSES_S,
+    ITEM_QUARANTINE_PERIODS_S,
     TRIAL_STAGGER_S,
-    EndLedger,
-    Standing,
+    CrashHistory,
     Verdict,
+    VerdictKind,
 )
-from coppercleat.quarantine._page import PAGE, serve_page
+from coppercleat.quarantine._page import QUARANTINE_PATH, serve_quarantine
 
 __all__ = [
     "FREE",
     "HELD_RETRY_S",
-    "ITEM_PAUSES_S",
-    "Asking",
-    "End",
-    "EndKeeper",
-    "EndLedger",
-    "EndWatch",
-    "EndsSeen",
-    "Finding",
-    "KeptEnds",
+    "ITEM_QUARANTINE_PERIODS_S",
+    "FingerprintedRequest",
+    "Crash",
+    "QuarantineStore",
+    "CrashHistory",
+    "CrashDetector",
+    "CrashUpdate",
+    "ProbeResult",
+    "QuarantineRecord",
     "Fingerprint",
-    "PAGE",
-    "SAME_END_S",
-    "Standing",
+    "QUARANTINE_PATH",
+    "SAME_CRASH_WINDOW_S",
+    "VerdictKind",
     "TRIAL_STAGGER_S",
-    "ToldEnd",
+    "CrashReport",
     "Verdict",
-    "Watched",
+    "UpstreamIncarnation",
     "fingerprint_of",
-    "serve_page",
-    "shown",
+    "serve_quarantine",
+    "format_fingerprint",
 ]
--- a/src/coppercleat/quarantine/_end_watch.py
+++ b/src/coppercleat/quarantine/_end_watch.py
@@ -17,24 +17,24 @@
 
 from coppercleat.ids import UpstreamId
 from coppercleat.observability import part_logger
-from coppercleat.quarantine._ends import SAME_END_S, End, ToldEnd
-from coppercleat.quarantine._fingerprint import Fingerprint, shown
+from coppercleat.quarantine._ends import SAME_CRASH_WINDOW_S, Crash, CrashReport
+from coppercleat.quarantine._fingerprint import Fingerprint, format_fingerprint
 from coppercleat.quarantine._ledger import (
     FREE,
     HELD_RETRY_S,
-    ITEM_PAUSES_S,
-    PAUSES_S,
-    EndLedger,
-    Standing,
+    ITEM_QUARANTINE_PERIODS_S,
+    QUARANTINE_PERIODS_S,
+    CrashHistory,
     Verdict,
+    VerdictKind,
 )
 
 PROBE_DELAYS_S = (0.0, 0.05, 0.1, 0.2, 0.4, 0.8, 1.0, 1.0, 1.0)
 """Delay before each probe. The later ones tell a crash from a brief refusal."""
 
 PROGRESS_EVIDENCE_S = 0.3
-"""A crash is weak evidence if the attempt made progress for this long: most requests that
-crash upstreams do so at once."""
+"""A crash is weak evidence if the attempt made progress for this long, since a request
+that crashes its upstream mostly does so at once."""
 
 IMMEDIATE_S = 0.05
 """The upstream has hardly begun to process an attempt that is interrupted this soon."""
@@ -57,17 +57,17 @@
 _log = part_logger("quarantine")
 
 
-class Finding(enum.Enum):
+class ProbeResult(enum.Enum):
     """Result of probing an upstream."""
 
     NOTHING_LISTENS = "nothing listens at its address"
-    OTHER_LIFE = "it tells of another start"
-    SAME_LIFE = "it tells of the same start"
+    OTHER_INCARNATION = "it tells of another start"
+    SAME_INCARNATION = "it tells of the same start"
     SOMETHING_LISTENS = "something answers at its address"
     NO_ANSWER = "it does not answer"
 
 
-class Watched(Protocol):
+class UpstreamIncarnation(Protocol):
     """One incarnation of an upstream: the time from one start to the next."""
 
     @property
@@ -105,7 +105,7 @@
         ...
 
 
-class Asking(Protocol):
+class FingerprintedRequest(Protocol):
     """A request that is to be sent to an upstream."""
 
     @property
@@ -119,11 +119,15 @@
         ...
 
 
-_UpstreamT = TypeVar("_UpstreamT", bound=Watched)
+_UpstreamT = TypeVar("_UpstreamT", bound=UpstreamIncarnation)
 
-_CRASH_PROOFS = frozenset({Finding.NOTHING_LISTENS, Finding.OTHER_LIFE})
+_CRASH_PROOFS = frozenset({ProbeResult.NOTHING_LISTENS, ProbeResult.OTHER_INCARNATION})
 _FINAL_RESULTS = frozenset(
-    {Finding.OTHER_LIFE, Finding.SAME_LIFE, Finding.SOMETHING_LISTENS}
+    {
+        ProbeResult.OTHER_INCARNATION,
+        ProbeResult.SAME_INCARNATION,
+        ProbeResult.SOMETHING_LISTENS,
+    }
 )
 """Results after which probing stops. A refused connection is not among them, since the
 refusal may be brief."""
@@ -186,45 +190,47 @@
         A proxy in front of a crashed upstream accepts connections and closes them in
         milliseconds, which hides the crash until the upstream is back.
         """
-        late = self.proved_at - attempt.at >= SAME_END_S
+        late = self.proved_at - attempt.at >= SAME_CRASH_WINDOW_S
         return late and attempt.is_immediate
 
 
-class EndWatch(Generic[_UpstreamT]):
+class CrashDetector(Generic[_UpstreamT]):
     """Records crashes found by probes or reported by other instances; gives verdicts.
 
     Attributes:
-      ask: Probes an upstream once.
-      ledger: The crash history.
-      on_news: Called with crash reports and cleared requests for other instances.
-      may_try: Returns whether this instance may run a trial of a request, given the
-        seconds since it became due.
-      on_barred: Called with the kind of the verdict on each request that was blocked.
-      on_ended: Called with each new crash and the time at which the interrupted attempt
+      probe: Probes an upstream once.
+      history: The crash history.
+      on_update: Called with crash reports and cleared requests for other instances.
+      may_run_trial: Returns whether this instance may run a trial of a request, given
+        the seconds since it became due.
+      on_blocked: Called with the kind of the verdict on each request that was blocked.
+      on_crash: Called with each new crash and the time at which the interrupted attempt
         began, or that of the crash if it is unknown.
-      on_withdrawn: Called with each crash that was a false positive.
+      on_crash_retracted: Called with each crash that was a false positive.
     """
 
-    def __init__(self, ask: Callable[[_UpstreamT], Awaitable[Finding]]) -> None:
+    def __init__(self, probe: Callable[[_UpstreamT], Awaitable[ProbeResult]]) -> None:
         """Initialises the detector.
 
         Args:
-          ask: Probes an upstream once.
+          probe: Probes an upstream once.
         """
-        self.ask = ask
-        self.ledger = EndLedger()
-        self.on_news: Callable[[tuple[ToldEnd, ...], tuple[Fingerprint, ...]], None] = (
-            lambda ends, cleared: None
-        )
-        self.may_try: Callable[[Fingerprint, float], bool] = (
+        self.probe = probe
+        self.history = CrashHistory()
+        self.on_update: Callable[
+            [tuple[CrashReport, ...], tuple[Fingerprint, ...]], None
+        ] = lambda reports, cleared: None
+        self.may_run_trial: Callable[[Fingerprint, float], bool] = (
             lambda fingerprint, overdue_s: True
         )
-        self.on_barred: Callable[[str], None] = lambda standing: None
-        self.on_ended: Callable[[End, float], None] = lambda crash, run_began: None
-        self.on_withdrawn: Callable[[End], None] = lambda crash: None
+        self.on_blocked: Callable[[str], None] = lambda kind: None
+        self.on_crash: Callable[[Crash, float], None] = lambda crash, attempt_began: (
+            None
+        )
+        self.on_crash_retracted: Callable[[Crash], None] = lambda crash: None
         self._investigations: dict[_UpstreamT, _Investigation[_UpstreamT]] = {}
         self._new_investigations: list[_Investigation[_UpstreamT]] = []
-        self._unsent_reports: list[tuple[Fingerprint, End, bool]] = []
+        self._unsent_reports: list[tuple[Fingerprint, Crash, bool]] = []
         self._unsent_clears: list[Fingerprint] = []
         self._abandoned: collections.deque[tuple[Fingerprint, _UpstreamT, float]] = (
             collections.deque(maxlen=_MAX_ABANDONED)
@@ -246,14 +252,14 @@
 
     # Outcomes of attempts, and verdicts.
 
-    def broke_off(
+    def record_interruption(
         self,
         fingerprint: Fingerprint,
         state: _UpstreamT,
         *,
         began: float | None = None,
         silent: bool = False,
-        moved_on_s: float = 0.0,
+        progress_s: float = 0.0,
     ) -> None:
         """Records an attempt that was interrupted, and probes its upstream.
 
@@ -265,11 +271,11 @@
           began: Trio time at which the attempt began; None if unknown.
           silent: Whether the upstream fell silent, with the connection intact. Then the
             request is not held before a crash is proved.
-          moved_on_s: Seconds from the beginning of the attempt to its last progress.
+          progress_s: Seconds from the beginning of the attempt to its last progress.
         """
         now = trio.current_time()
         began = now if began is None else began
-        attempt = _InterruptedAttempt(began, now, moved_on_s >= PROGRESS_EVIDENCE_S)
+        attempt = _InterruptedAttempt(began, now, progress_s >= PROGRESS_EVIDENCE_S)
         self._add_suspect(fingerprint, state, attempt, silent=silent)
 
     def _add_suspect(
@@ -296,7 +302,7 @@
         if investigation.crashed:
             self._record_crash(investigation, fingerprint)
         elif not silent:
-            self.ledger.broke_off(fingerprint, state.id)
+            self.history.record_interruption(fingerprint, state.id)
 
     def _add_late_suspect(
         self,
@@ -308,13 +314,13 @@
         """Holds a request until the probes are over, as it may be a cause as well."""
         if not silent and fingerprint not in investigation.late_suspects:
             investigation.late_suspects.add(fingerprint)
-            self.ledger.broke_off(fingerprint, investigation.state.id)
+            self.history.record_interruption(fingerprint, investigation.state.id)
 
-    def left(self, fingerprint: Fingerprint, state: _UpstreamT) -> None:
+    def record_abandonment(self, fingerprint: Fingerprint, state: _UpstreamT) -> None:
         """Records an attempt that its client abandoned before the response."""
         self._abandoned.append((fingerprint, state, trio.current_time()))
 
-    def unreachable(self, state: _UpstreamT) -> None:
+    def record_connect_failure(self, state: _UpstreamT) -> None:
         """Records a failed connection; suspects recently abandoned attempts there."""
         for fingerprint, abandoned_at in self._abandoned_before(
             state.id, trio.current_time()
@@ -334,62 +340,64 @@
             and 0 <= crash_at - abandoned_at <= ABANDONED_WINDOW_S
         ]
 
-    def note_answer(self, request: Asking) -> None:
+    def record_response(self, request: FingerprintedRequest) -> None:
         """Clears a request that was answered, if there is any evidence at all."""
-        if len(self.ledger):
-            self.answered(request.fingerprint)
+        if len(self.history):
+            self.clear(request.fingerprint)
 
-    def answered(self, fingerprint: Fingerprint) -> bool:
+    def clear(self, fingerprint: Fingerprint) -> bool:
         """Clears a request; returns whether there was any evidence against it."""
-        had_evidence = self.ledger.clear(fingerprint, now=trio.current_time())
+        had_evidence = self.history.clear(fingerprint, now=trio.current_time())
         if had_evidence:
-            _log.info("A request was cleared.", fingerprint=shown(fingerprint))
+            _log.info(
+                "A request was cleared.", fingerprint=format_fingerprint(fingerprint)
+            )
             self._unsent_clears.append(fingerprint)
             self._wake.set()
         return had_evidence
 
-    def verdict(self, request: Asking, *, item: bool = False) -> Verdict:
+    def verdict(self, request: FingerprintedRequest, *, item: bool = False) -> Verdict:
         """Returns whether a request may be sent to an upstream now.
 
         Args:
           request: The request.
           item: Whether it is an item of a batch job, which runs on one instance only.
         """
-        if not len(self.ledger):
+        if not len(self.history):
             return FREE
         fingerprint = request.fingerprint
-        verdict = self.ledger.verdict(
+        verdict = self.history.verdict(
             fingerprint,
             now=trio.current_time(),
-            pauses_s=ITEM_PAUSES_S if item else PAUSES_S,
+            periods_s=ITEM_QUARANTINE_PERIODS_S if item else QUARANTINE_PERIODS_S,
         )
-        if verdict.standing is Standing.QUARANTINED and not verdict.retry_after_s:
-            if item or self.may_try(fingerprint, verdict.overdue_s):
-                return attrs.evolve(verdict, standing=Standing.TRIAL)
-            return Verdict(Standing.QUARANTINED, HELD_RETRY_S, verdict.ends)
+        if verdict.kind is VerdictKind.QUARANTINED and not verdict.retry_after_s:
+            if item or self.may_run_trial(fingerprint, verdict.overdue_s):
+                return attrs.evolve(verdict, kind=VerdictKind.TRIAL)
+            return Verdict(VerdictKind.QUARANTINED, HELD_RETRY_S, verdict.crashes)
         return verdict
 
-    def admit(self, request: Asking) -> Verdict:
+    def admit(self, request: FingerprintedRequest) -> Verdict:
         """Returns the verdict on a request, and begins a trial if that is due."""
         verdict = self.verdict(request)
-        if verdict.standing is Standing.TRIAL:
+        if verdict.kind is VerdictKind.TRIAL:
             self.begin_trial(request)
         return verdict
 
-    def begin_trial(self, request: Asking) -> None:
+    def begin_trial(self, request: FingerprintedRequest) -> None:
         """Records that a trial of a quarantined request is sent to an upstream."""
-        self.ledger.begin_trial(request.fingerprint, now=trio.current_time())
+        self.history.begin_trial(request.fingerprint, now=trio.current_time())
         _log.warning(
             "Running a trial of a quarantined request.",
             request=request.request_id,
-            fingerprint=shown(request.fingerprint),
-            ends=len(self.ledger.ends_of(request.fingerprint)),
+            fingerprint=format_fingerprint(request.fingerprint),
+            ends=len(self.history.crashes_of(request.fingerprint)),
         )
 
-    def not_run(self, request: Asking) -> None:
+    def cancel_trial(self, request: FingerprintedRequest) -> None:
         """Records that an upstream did not process a request: there was no trial."""
-        if len(self.ledger):
-            self.ledger.give_back_trial(request.fingerprint)
+        if len(self.history):
+            self.history.cancel_trial(request.fingerprint)
 
     # Probing.
 
@@ -407,8 +415,8 @@
         finally:
             self._investigations.pop(state, None)
             for fingerprint in (*investigation.suspects, *investigation.late_suspects):
-                self.ledger.settled(fingerprint, state.id)
-            self.ledger.forget_old(trio.current_time())
+                self.history.resolve_interruption(fingerprint, state.id)
+            self.history.forget_old(trio.current_time())
 
     async def _probe_once(self, investigation: _Investigation[_UpstreamT]) -> bool:
         """Probes the upstream once; returns whether the result is final."""
@@ -416,10 +424,10 @@
         if state.restarted:
             self._record_proof(investigation, "it was restarted")
             return True
-        result = await self.ask(state)
+        result = await self.probe(state)
         if result in _CRASH_PROOFS:
             self._record_proof(investigation, result.value)
-        elif result is Finding.SAME_LIFE and investigation.crashed:
+        elif result is ProbeResult.SAME_INCARNATION and investigation.crashed:
             # Only the same start time disproves a crash: another process may have the
             # address by now.
             self._retract(investigation)
@@ -447,24 +455,24 @@
             requests=len(investigation.suspects),
         )
         first_began = min(attempt.began for attempt in investigation.suspects.values())
-        crash = End(investigation.state.id, first_at, investigation.state.born_ms)
-        self.on_ended(crash, first_began)
+        crash = Crash(investigation.state.id, first_at, investigation.state.born_ms)
+        self.on_crash(crash, first_began)
         for fingerprint in investigation.suspects:
             self._record_crash(investigation, fingerprint)
 
     def _record_crash(
         self, investigation: _Investigation[_UpstreamT], fingerprint: Fingerprint
     ) -> None:
-        self.ledger.settled(fingerprint, investigation.state.id)
+        self.history.resolve_interruption(fingerprint, investigation.state.id)
         crash = self._crash_under(investigation, fingerprint)
-        if self.ledger.ended(fingerprint, crash):
+        if self.history.record_crash(fingerprint, crash):
             self._log_if_quarantined(fingerprint, sender="")
         self._unsent_reports.append((fingerprint, crash, False))
         self._wake.set()
 
     def _crash_under(
         self, investigation: _Investigation[_UpstreamT], fingerprint: Fingerprint
-    ) -> End:
+    ) -> Crash:
         """Returns the crash as evidence against one of the suspects."""
         state, attempt = investigation.state, investigation.suspects[fingerprint]
         steady = state.was_steady(began=attempt.began, at=attempt.at)
@@ -473,10 +481,12 @@
             or not steady
             or investigation.is_weak_evidence(attempt)
         )
-        crash = End(
+        crash = Crash(
             state.id, attempt.at, state.born_ms, weak=weak, source=investigation.proof
         )
-        return self.ledger.identified(fingerprint, crash, run_began=attempt.began)
+        return self.history.identify_crash(
+            fingerprint, crash, attempt_began=attempt.began
+        )
 
     def _retract(self, investigation: _Investigation[_UpstreamT]) -> None:
         """Retracts the crash: the upstream had only refused connections briefly."""
@@ -485,8 +495,8 @@
         )
         for fingerprint in investigation.suspects:
             crash = self._crash_under(investigation, fingerprint)
-            self.ledger.withdraw(fingerprint, crash)
-            self.on_withdrawn(crash)
+            self.history.retract(fingerprint, crash)
+            self.on_crash_retracted(crash)
             self._unsent_reports.append((fingerprint, crash, True))
         self._wake.set()
 
@@ -500,16 +510,16 @@
                 await trio.sleep(UPDATE_REPEAT_S)
             now = trio.current_time()
             reports = tuple(
-                ToldEnd.of(fingerprint, crash, now=now, withdrawn=withdrawn)
-                for fingerprint, crash, withdrawn in unsent
+                CrashReport.of(fingerprint, crash, now=now, retracted=retracted)
+                for fingerprint, crash, retracted in unsent
             )
             # Clears are not repeated: the request may have become suspect again.
-            self.on_news(reports, () if repeat else cleared)
+            self.on_update(reports, () if repeat else cleared)
 
-    def take_news(
+    def apply_update(
         self,
         sender: str,
-        reports: tuple[ToldEnd, ...],
+        reports: tuple[CrashReport, ...],
         cleared: tuple[Fingerprint, ...],
     ) -> bool:
         """Applies another instance's update; returns whether any of it was new.
@@ -520,24 +530,24 @@
           cleared: Requests that were answered.
         """
         now = trio.current_time()
-        before = self.ledger.quarantined(now=now)
-        changed = self.ledger.take_told(
+        before = self.history.quarantined(now=now)
+        changed = self.history.merge_reports(
             reports,
             cleared,
             now=now,
             sender=sender,
-            on_new=lambda crash: self.on_ended(crash, crash.at),
+            on_new=lambda crash: self.on_crash(crash, crash.at),
         )
         for report in reports:
             crash = report.to_crash(now=now)
-            if report.withdrawn:
-                self.on_withdrawn(crash)
-            elif self.ledger.was_answered(report.fingerprint, crash):
+            if report.retracted:
+                self.on_crash_retracted(crash)
+            elif self.history.was_cleared(report.fingerprint, crash):
                 # The sender missed that the request was cleared.
                 self._resend_clear(report.fingerprint)
             else:
                 self._record_abandoned_crashes(crash)
-        for fingerprint in self.ledger.quarantined(now=now).keys() - before.keys():
+        for fingerprint in self.history.quarantined(now=now).keys() - before.keys():
             self._log_if_quarantined(fingerprint, sender=sender)
         return changed
 
@@ -546,38 +556,40 @@
             self._unsent_clears.append(fingerprint)
             self._wake.set()
 
-    def _record_abandoned_crashes(self, crash: End) -> None:
+    def _record_abandoned_crashes(self, crash: Crash) -> None:
         """Records a reported crash against attempts abandoned there shortly before."""
         unnumbered = attrs.evolve(crash, number=0)
         for fingerprint, abandoned_at in self._abandoned_before(
             crash.upstream, crash.at
         ):
-            own = self.ledger.identified(
-                fingerprint, unnumbered, run_began=abandoned_at
+            own = self.history.identify_crash(
+                fingerprint, unnumbered, attempt_began=abandoned_at
             )
-            if self.ledger.ended(fingerprint, own):
+            if self.history.record_crash(fingerprint, own):
                 self._log_if_quarantined(fingerprint, sender="")
                 self._unsent_reports.append((fingerprint, own, False))
                 self._wake.set()
 
     def _log_if_quarantined(self, fingerprint: Fingerprint, *, sender: str) -> None:
         now = trio.current_time()
-        verdict = self.ledger.verdict(fingerprint, now=now)
-        if verdict.standing is not Standing.QUARANTINED:
+        verdict = self.history.verdict(fingerprint, now=now)
+        if verdict.kind is not VerdictKind.QUARANTINED:
             return
-        crashes = self.ledger.ends_of(fingerprint)[-_MAX_LOGGED_CRASHES:]
+        crashes = self.history.crashes_of(fingerprint)[-_MAX_LOGGED_CRASHES:]
         _log.warning(
             "A request is quarantined.",
-            fingerprint=shown(fingerprint),
-            ends=verdict.ends,
-            upstreams=self.ledger.upstreams_of(fingerprint)[-_MAX_LOGGED_CRASHES:],
+            fingerprint=format_fingerprint(fingerprint),
+            ends=verdict.crashes,
+            upstreams=self.history.crashed_upstreams_of(fingerprint)[
+                -_MAX_LOGGED_CRASHES:
+            ],
             met=[_crash_log_fields(crash, now=now) for crash in crashes],
             teller=sender,
             retry_after_s=round(verdict.retry_after_s, 1),
         )
 
 
-def _crash_log_fields(crash: End, *, now: float) -> dict[str, object]:
+def _crash_log_fields(crash: Crash, *, now: float) -> dict[str, object]:
     """Returns the log fields of a crash, by which duplicates can be recognised."""
     return {
         "upstream": crash.upstream,
--- a/src/coppercleat/quarantine/_ends.py
+++ b/src/coppercleat/quarantine/_ends.py
@@ -8,7 +8,7 @@
 from coppercleat.ids import UpstreamId
 from coppercleat.quarantine._fingerprint import Fingerprint
 
-SAME_END_S = 0.5
+SAME_CRASH_WINDOW_S = 0.5
 """Observations of one upstream this close in time are the same crash: connections break
 within milliseconds, and a restart takes longer."""
 
@@ -18,7 +18,7 @@
 
 
 @attrs.frozen
-class End:
+class Crash:
     """One crash of an upstream while it processed a request.
 
     Attributes:
@@ -40,26 +40,28 @@
     weak: bool = False
     source: str = attrs.field(default="", eq=False)
 
-    def is_duplicate_observation(self, known: End, *, run_began: float) -> bool:
+    def is_duplicate_observation(self, known: Crash, *, attempt_began: float) -> bool:
         """Returns whether this crash, observed locally, is the known one.
 
         Args:
           known: A crash that is already recorded.
-          run_began: When the attempt began that this crash interrupted. An attempt
+          attempt_began: When the attempt began that this crash interrupted. An attempt
             that began before a known crash was interrupted by it, however late that
             was noticed.
         """
-        began_before = self._may_be_same_incarnation(known) and run_began <= known.at
+        began_before = (
+            self._may_be_same_incarnation(known) and attempt_began <= known.at
+        )
         return began_before or self.coincides_with(known) or self._is_too_close(known)
 
-    def coincides_with(self, other: End) -> bool:
+    def coincides_with(self, other: Crash) -> bool:
         """Returns whether both are crashes of one upstream at the same time."""
         return (
             self._may_be_same_incarnation(other)
-            and abs(self.at - other.at) < SAME_END_S
+            and abs(self.at - other.at) < SAME_CRASH_WINDOW_S
         )
 
-    def is_duplicate_report(self, known: End) -> bool:
+    def is_duplicate_report(self, known: Crash) -> bool:
         """Returns whether this crash, reported by another instance, is the known one.
 
         The time is not compared: reports state the age of a crash, so each delay on the
@@ -69,7 +71,7 @@
             self._may_be_same_incarnation(known) and self.number == known.number
         ) or self._is_too_close(known)
 
-    def _is_too_close(self, known: End) -> bool:
+    def _is_too_close(self, known: Crash) -> bool:
         """Returns whether the upstream can't have restarted between the two crashes.
 
         Start times are ignored, since one instance may have an outdated upstream list.
@@ -77,64 +79,69 @@
         near = abs(self.at - known.at) < MIN_UPTIME_S
         return near and self.upstream == known.upstream
 
-    def _may_be_same_incarnation(self, known: End) -> bool:
+    def _may_be_same_incarnation(self, known: Crash) -> bool:
         """Returns whether both are of one upstream, with no two known start times."""
         start_times = {self.born_ms, known.born_ms} - {0}
         return self.upstream == known.upstream and len(start_times) < 2
 
 
-class ToldEnd(msgspec.Struct, frozen=True, array_like=True):
+class CrashReport(msgspec.Struct, frozen=True, array_like=True):
     """A crash of an upstream, as one instance reports it to another.
 
     Attributes:
       fingerprint: The request that the upstream was processing.
       upstream: The upstream that crashed.
       age_s: Seconds since the crash, so that clocks need not agree.
-      withdrawn: Whether the crash turned out to be a false positive.
-      born_ms: See ``End``.
-      number: See ``End``; absent from instances of earlier versions.
-      weak: See ``End``; absent from instances of earlier versions, which may have
+      retracted: Whether the crash turned out to be a false positive.
+      born_ms: See ``Crash``.
+      number: See ``Crash``; absent from instances of earlier versions.
+      weak: See ``Crash``; absent from instances of earlier versions, which may have
         counted weak evidence in full.
     """
 
     fingerprint: Fingerprint
     upstream: UpstreamId
     age_s: float
-    withdrawn: bool = False
+    retracted: bool = False
     born_ms: int = 0
     number: int = 1
     weak: bool = True
 
     @classmethod
     def of(
-        cls, fingerprint: Fingerprint, end: End, *, now: float, withdrawn: bool = False
-    ) -> ToldEnd:
+        cls,
+        fingerprint: Fingerprint,
+        crash: Crash,
+        *,
+        now: float,
+        retracted: bool = False,
+    ) -> CrashReport:
         """Returns the report of a crash that this instance knows.
 
         Args:
           fingerprint: The request that the upstream was processing.
-          end: The crash.
+          crash: The crash.
           now: Seconds on the local clock.
-          withdrawn: Whether to report the crash as a false positive.
+          retracted: Whether to report the crash as a false positive.
         """
         return cls(
             fingerprint,
-            end.upstream,
-            now - end.at,
-            withdrawn,
-            end.born_ms,
-            end.number,
-            end.weak,
+            crash.upstream,
+            now - crash.at,
+            retracted,
+            crash.born_ms,
+            crash.number,
+            crash.weak,
         )
 
-    def to_crash(self, *, now: float, sender: str = "") -> End:
+    def to_crash(self, *, now: float, sender: str = "") -> Crash:
         """Returns the reported crash, with its time on the local clock.
 
         Args:
           now: Seconds on the local clock.
           sender: The reporting instance, for the log.
         """
-        return End(
+        return Crash(
             self.upstream,
             now - self.age_s,
             self.born_ms,
@@ -144,13 +151,13 @@
         )
 
 
-class EndsSeen(msgspec.Struct, frozen=True, tag="ends", array_like=True):
+class CrashUpdate(msgspec.Struct, frozen=True, tag="ends", array_like=True):
     """Message that reports crashes and cleared requests to another instance.
 
     Attributes:
-      ends: Crashes observed by the sender or reported to it.
+      reports: Crashes observed by the sender or reported to it.
       cleared: Requests that an upstream has answered since.
     """
 
-    ends: tuple[ToldEnd, ...]
+    reports: tuple[CrashReport, ...]
     cleared: tuple[Fingerprint, ...] = ()
--- a/src/coppercleat/quarantine/_fingerprint.py
+++ b/src/coppercleat/quarantine/_fingerprint.py
@@ -36,6 +36,6 @@
     return Fingerprint(digest.digest())
 
 
-def shown(fingerprint: Fingerprint) -> str:
+def format_fingerprint(fingerprint: Fingerprint) -> str:
     """Returns a fingerprint as hexadecimal text, for logs and operators."""
     return fingerprint.hex()
--- a/src/coppercleat/quarantine/_ledger.py
+++ b/src/coppercleat/quarantine/_ledger.py
@@ -14,7 +14,7 @@
 import attrs
 
 from coppercleat.ids import UpstreamId
-from coppercleat.quarantine._ends import SAME_END_S, End, ToldEnd
+from coppercleat.quarantine._ends import SAME_CRASH_WINDOW_S, Crash, CrashReport
 from coppercleat.quarantine._fingerprint import Fingerprint
 
 QUARANTINE_CRASHES = 3
@@ -31,11 +31,11 @@
 _QUARANTINE_WEIGHT = QUARANTINE_CRASHES * _WEIGHT
 """Weight of a crash as evidence, and the sum from which a request is quarantined."""
 
-PAUSES_S = (60.0, 600.0, 3600.0)
+QUARANTINE_PERIODS_S = (60.0, 600.0, 3600.0)
 """Seconds of quarantine, at first and after each failed trial. After a period one trial
 is allowed, so that an innocent request is not refused for good."""
 
-ITEM_PAUSES_S = (5.0, 10.0, 60.0, 600.0, 3600.0)
+ITEM_QUARANTINE_PERIODS_S = (5.0, 10.0, 60.0, 600.0, 3600.0)
 """The same for items of batch jobs. The first periods are short, since items are due
 within seconds and their automatic retries meet the crashes of others more often."""
 
@@ -68,7 +68,7 @@
 reported at once and without a limit."""
 
 
-class Standing(enum.Enum):
+class VerdictKind(enum.Enum):
     """Kind of a verdict on a request.
 
     Attributes:
@@ -91,26 +91,26 @@
     """Whether a request may run now.
 
     Attributes:
-      standing: What the request may do.
+      kind: What the request may do.
       retry_after_s: Seconds until it may run; 0 if it may run now.
-      ends: Number of crashes recorded against it.
-      wary: Whether it may be sent to steady upstreams only.
+      crashes: Number of crashes recorded against it.
+      steady_only: Whether it may be sent to steady upstreams only.
       overdue_s: Seconds since a trial became due.
     """
 
-    standing: Standing
+    kind: VerdictKind
     retry_after_s: float = 0.0
-    ends: int = 0
-    wary: bool = False
+    crashes: int = 0
+    steady_only: bool = False
     overdue_s: float = 0.0
 
     @property
     def may_run(self) -> bool:
         """Whether it may be sent to an upstream."""
-        return self.standing in (Standing.FREE, Standing.TRIAL)
+        return self.kind in (VerdictKind.FREE, VerdictKind.TRIAL)
 
 
-FREE = Verdict(Standing.FREE)
+FREE = Verdict(VerdictKind.FREE)
 """Verdict on a request without recorded crashes."""
 
 
@@ -124,7 +124,7 @@
       trial_at: When the last trial began.
     """
 
-    crashes: list[End] = attrs.field(factory=list)
+    crashes: list[Crash] = attrs.field(factory=list)
     pending: list[UpstreamId] = attrs.field(factory=list)
     trial_at: float = float("-inf")
 
@@ -149,22 +149,22 @@
     def last_at(self) -> float:
         return max((crash.at for crash in self.crashes), default=float("-inf"))
 
-    def find_reported(self, crash: End) -> End | None:
+    def find_reported(self, crash: Crash) -> Crash | None:
         """Returns the recorded crash that a reported one repeats; None if it is new."""
         return next(
             (known for known in self.crashes if crash.is_duplicate_report(known)), None
         )
 
-    def find_observed(self, crash: End, *, run_began: float) -> End | None:
+    def find_observed(self, crash: Crash, *, attempt_began: float) -> Crash | None:
         """Returns the recorded crash that an observed one repeats; None if new."""
         duplicates = (
             known
             for known in self.crashes
-            if crash.is_duplicate_observation(known, run_began=run_began)
+            if crash.is_duplicate_observation(known, attempt_began=attempt_began)
         )
         return next(duplicates, None)
 
-    def with_number(self, crash: End, *, before: Sequence[End] = ()) -> End:
+    def with_number(self, crash: Crash, *, before: Sequence[Crash] = ()) -> Crash:
         """Returns a new crash with its number assigned.
 
         Args:
@@ -178,24 +178,28 @@
         return attrs.evolve(crash, number=max(numbers, default=0) + 1)
 
 
-class EndLedger:
+class CrashHistory:
     """Crashes by request; all times are seconds on one clock of the caller."""
 
     def __init__(self) -> None:
         self._records: dict[Fingerprint, _Record] = {}
         self._voided_until: dict[tuple[Fingerprint, UpstreamId | None], float] = {}
-        self._discounted: dict[Fingerprint, list[End]] = {}
+        self._discounted: dict[Fingerprint, list[Crash]] = {}
 
     def __len__(self) -> int:
         return len(self._records)
 
     # Recording evidence.
 
-    def broke_off(self, fingerprint: Fingerprint, upstream: UpstreamId) -> None:
+    def record_interruption(
+        self, fingerprint: Fingerprint, upstream: UpstreamId
+    ) -> None:
         """Records an interrupted attempt at an upstream that may have crashed."""
         self._record(fingerprint).pending.append(upstream)
 
-    def settled(self, fingerprint: Fingerprint, upstream: UpstreamId) -> None:
+    def resolve_interruption(
+        self, fingerprint: Fingerprint, upstream: UpstreamId
+    ) -> None:
         """Removes an interrupted attempt whose upstream is no longer probed."""
         record = self._records.get(fingerprint)
         if record is None or upstream not in record.pending:
@@ -203,22 +207,22 @@
         record.pending.remove(upstream)
         self._drop_if_empty(fingerprint, record)
 
-    def identified(
-        self, fingerprint: Fingerprint, crash: End, *, run_began: float
-    ) -> End:
+    def identify_crash(
+        self, fingerprint: Fingerprint, crash: Crash, *, attempt_began: float
+    ) -> Crash:
         """Returns the recorded crash that an observed one repeats, or it with a number.
 
         Args:
           fingerprint: The request.
           crash: The crash as observed here.
-          run_began: When the interrupted attempt began.
+          attempt_began: When the interrupted attempt began.
         """
         record = self._records.get(fingerprint, _Record())
         before = self._discounted.get(fingerprint, ())
-        known = record.find_observed(crash, run_began=run_began)
+        known = record.find_observed(crash, attempt_began=attempt_began)
         return known or record.with_number(crash, before=before)
 
-    def ended(self, fingerprint: Fingerprint, crash: End) -> bool:
+    def record_crash(self, fingerprint: Fingerprint, crash: Crash) -> bool:
         """Records a crash under a request; returns whether it is new.
 
         Args:
@@ -234,7 +238,7 @@
         record.crashes.append(crash)
         return True
 
-    def adopt(self, fingerprint: Fingerprint, crashes: list[End]) -> None:
+    def adopt(self, fingerprint: Fingerprint, crashes: list[Crash]) -> None:
         """Replaces the recorded crashes of a request by those given, if heavier."""
         counted = [crash for crash in crashes if self._counts(fingerprint, crash)]
         record = self._record(fingerprint)
@@ -244,9 +248,9 @@
                 record.crashes.append(record.with_number(crash))
         self._drop_if_empty(fingerprint, record)
 
-    def withdraw(self, fingerprint: Fingerprint, crash: End) -> bool:
+    def retract(self, fingerprint: Fingerprint, crash: Crash) -> bool:
         """Removes a false positive; returns whether it was recorded."""
-        self._voided_until[fingerprint, crash.upstream] = crash.at + SAME_END_S
+        self._voided_until[fingerprint, crash.upstream] = crash.at + SAME_CRASH_WINDOW_S
         self._discount(fingerprint, [crash])
         record = self._records.get(fingerprint)
         if record is None:
@@ -269,7 +273,7 @@
         self._discount(fingerprint, record.crashes)
         return True
 
-    def was_answered(self, fingerprint: Fingerprint, crash: End) -> bool:
+    def was_cleared(self, fingerprint: Fingerprint, crash: Crash) -> bool:
         """Returns whether an answer voided a crash, with no new evidence since."""
         if (
             fingerprint in self._records
@@ -278,14 +282,14 @@
             return False
         return not self._counts(fingerprint, crash)
 
-    def take_told(
+    def merge_reports(
         self,
-        reports: Iterable[ToldEnd],
+        reports: Iterable[CrashReport],
         cleared: Iterable[Fingerprint],
         *,
         now: float,
         sender: str = "",
-        on_new: Callable[[End], None] = lambda crash: None,
+        on_new: Callable[[Crash], None] = lambda crash: None,
     ) -> bool:
         """Merges the reports of another instance; returns whether any was new.
 
@@ -299,9 +303,9 @@
         changes = [self.clear(fingerprint, now=now) for fingerprint in cleared]
         for report in reports:
             crash = report.to_crash(now=now, sender=sender)
-            apply = self.withdraw if report.withdrawn else self.ended
+            apply = self.retract if report.retracted else self.record_crash
             changes.append(apply(report.fingerprint, crash))
-            if changes[-1] and not report.withdrawn:
+            if changes[-1] and not report.retracted:
                 on_new(crash)
         self.forget_old(now)
         return any(changes)
@@ -313,42 +317,44 @@
         fingerprint: Fingerprint,
         *,
         now: float,
-        pauses_s: Sequence[float] = PAUSES_S,
+        periods_s: Sequence[float] = QUARANTINE_PERIODS_S,
     ) -> Verdict:
         """Returns whether a request may run, or when a trial of it is due.
 
         Args:
           fingerprint: The request.
           now: Seconds on the local clock.
-          pauses_s: Quarantine periods in seconds.
+          periods_s: Quarantine periods in seconds.
         """
         record = self._records.get(fingerprint)
         if record is None:
             return FREE
         crashes = len(record.crashes)
         if record.quarantined:
-            return self._verdict_in_quarantine(record, now, pauses_s)
+            return self._verdict_in_quarantine(record, now, periods_s)
         if record.weight + len(set(record.pending)) * _WEIGHT >= _QUARANTINE_WEIGHT:
-            return Verdict(Standing.HELD, HELD_RETRY_S, crashes)
-        wary = crashes >= _STEADY_ONLY_CRASHES and now - record.last_at < STEADY_ONLY_S
-        return Verdict(Standing.FREE, ends=crashes, wary=wary)
+            return Verdict(VerdictKind.HELD, HELD_RETRY_S, crashes)
+        steady_only = (
+            crashes >= _STEADY_ONLY_CRASHES and now - record.last_at < STEADY_ONLY_S
+        )
+        return Verdict(VerdictKind.FREE, crashes=crashes, steady_only=steady_only)
 
     def _verdict_in_quarantine(
-        self, record: _Record, now: float, pauses_s: Sequence[float]
+        self, record: _Record, now: float, periods_s: Sequence[float]
     ) -> Verdict:
         crashes, trial = len(record.crashes), record.trials_failed
-        if trial < len(pauses_s):
-            period_s = pauses_s[trial]
+        if trial < len(periods_s):
+            period_s = periods_s[trial]
             if not trial and any(crash.weak for crash in record.crashes):
                 period_s = min(period_s, WEAK_EVIDENCE_PERIOD_S)
             remaining_s = max(record.last_at, record.trial_at) + period_s - now
         else:
             remaining_s = max(0.1, record.last_at + QUARANTINED_RETENTION_S - now)
         return Verdict(
-            Standing.QUARANTINED,
+            VerdictKind.QUARANTINED,
             max(0.0, remaining_s),
             crashes,
-            wary=-remaining_s < STEADY_ONLY_S,
+            steady_only=-remaining_s < STEADY_ONLY_S,
             overdue_s=max(0.0, -remaining_s),
         )
 
@@ -356,22 +362,22 @@
         """Records that a trial began; the quarantine period starts anew."""
         self._records[fingerprint].trial_at = now
 
-    def give_back_trial(self, fingerprint: Fingerprint) -> None:
+    def cancel_trial(self, fingerprint: Fingerprint) -> None:
         """Records that the trial did not take place, so that another is allowed."""
         if fingerprint in self._records:
             self._records[fingerprint].trial_at = float("-inf")
 
-    def told(self, *, now: float) -> tuple[ToldEnd, ...]:
+    def crash_reports(self, *, now: float) -> tuple[CrashReport, ...]:
         """Returns reports of the known crashes, for a periodic message."""
         self.forget_old(now)
         records = sorted(self._records.items(), key=lambda item: -item[1].weight)
         return tuple(
-            ToldEnd.of(fingerprint, crash, now=now)
+            CrashReport.of(fingerprint, crash, now=now)
             for fingerprint, record in records[:MAX_REMINDED_REQUESTS]
             for crash in record.crashes
         )
 
-    def ends_of(self, fingerprint: Fingerprint) -> list[End]:
+    def crashes_of(self, fingerprint: Fingerprint) -> list[Crash]:
         """Returns the crashes recorded against a request."""
         return list(self._records.get(fingerprint, _Record()).crashes)
 
@@ -380,9 +386,9 @@
         record = self._records.get(fingerprint)
         return record is not None and record.quarantined
 
-    def upstreams_of(self, fingerprint: Fingerprint) -> list[UpstreamId]:
+    def crashed_upstreams_of(self, fingerprint: Fingerprint) -> list[UpstreamId]:
         """Returns the upstreams of the recorded crashes, in the same order."""
-        return [crash.upstream for crash in self.ends_of(fingerprint)]
+        return [crash.upstream for crash in self.crashes_of(fingerprint)]
 
     def quarantined(self, *, now: float) -> dict[Fingerprint, int]:
         """Returns the quarantined requests, with the number of crashes of each."""
@@ -402,19 +408,19 @@
             record = self._records[fingerprint] = _Record()
         return record
 
-    def _is_voided(self, fingerprint: Fingerprint, crash: End) -> bool:
+    def _is_voided(self, fingerprint: Fingerprint, crash: Crash) -> bool:
         """Returns whether a crash is older than an answer or a retraction."""
         keys = (fingerprint, crash.upstream), (fingerprint, None)
         return crash.at <= max(
             self._voided_until.get(key, float("-inf")) for key in keys
         )
 
-    def _discount(self, fingerprint: Fingerprint, crashes: list[End]) -> None:
+    def _discount(self, fingerprint: Fingerprint, crashes: list[Crash]) -> None:
         """Remembers crashes that no longer count, since reports may arrive late."""
         before = self._discounted.pop(fingerprint, [])
         self._discounted[fingerprint] = [*before, *crashes][-_MAX_DISCOUNTED:]
 
-    def _counts(self, fingerprint: Fingerprint, crash: End) -> bool:
+    def _counts(self, fingerprint: Fingerprint, crash: Crash) -> bool:
         """Returns whether a crash is neither void nor retracted."""
         discounted = self._discounted.get(fingerprint, ())
         if self._is_voided(fingerprint, crash):
--- a/src/coppercleat/quarantine/_page.py
+++ b/src/coppercleat/quarantine/_page.py
@@ -11,10 +11,10 @@
 
 from coppercleat.asgi import Scope, Send, send_json
 from coppercleat.observability import part_logger
-from coppercleat.quarantine._end_watch import EndWatch
-from coppercleat.quarantine._fingerprint import Fingerprint, shown
+from coppercleat.quarantine._end_watch import CrashDetector
+from coppercleat.quarantine._fingerprint import Fingerprint, format_fingerprint
 
-PAGE = "/quarantine"
+QUARANTINE_PATH = "/quarantine"
 """GET lists quarantined requests; DELETE with ``?fingerprint=HEX`` clears one on all
 instances."""
 
@@ -37,17 +37,17 @@
     retry_after_s: float
 
 
-def list_quarantined_requests(detector: EndWatch[Any]) -> list[QuarantinedRequest]:
+def list_quarantined_requests(detector: CrashDetector[Any]) -> list[QuarantinedRequest]:
     """Returns the quarantined requests that this instance knows."""
     now = trio.current_time()
     wall_at_zero = time.time() - now
     requests = []
-    for fingerprint in detector.ledger.quarantined(now=now):
-        crashes = detector.ledger.ends_of(fingerprint)
-        verdict = detector.ledger.verdict(fingerprint, now=now)
+    for fingerprint in detector.history.quarantined(now=now):
+        crashes = detector.history.crashes_of(fingerprint)
+        verdict = detector.history.verdict(fingerprint, now=now)
         requests.append(
             QuarantinedRequest(
-                fingerprint=shown(fingerprint),
+                fingerprint=format_fingerprint(fingerprint),
                 upstreams=[crash.upstream for crash in crashes],
                 last_at=round(wall_at_zero + max(crash.at for crash in crashes), 3),
                 retry_after_s=round(verdict.retry_after_s, 1),
@@ -56,7 +56,9 @@
     return requests
 
 
-async def serve_page(detector: EndWatch[Any], scope: Scope, send: Send) -> None:
+async def serve_quarantine(
+    detector: CrashDetector[Any], scope: Scope, send: Send
+) -> None:
     """Answers one HTTP request to the endpoint.
 
     Args:
@@ -79,7 +81,7 @@
     except ValueError:
         await send_json(send, 400, {"error": "the fingerprint is not hexadecimal"})
         return
-    cleared = detector.answered(fingerprint)
+    cleared = detector.clear(fingerprint)
     _log.warning(
         "An operator asked to clear a quarantined request.",
         fingerprint=hex_digits,
--- a/src/coppercleat/serving/_admission_queue.py
+++ b/src/coppercleat/serving/_admission_queue.py
@@ -236,7 +236,7 @@
 
         What was unsteady may be so no more, and what was steady may be gone.
         """
-        if not waiter.verdict.ends:
+        if not waiter.verdict.crashes:
             return waiter.avoid
         unsteady = self.placement.to_avoid(waiter.verdict, waiter.service, now=now)
         return unsteady | set(waiter.avoid)
--- a/src/coppercleat/serving/_forwarding.py
+++ b/src/coppercleat/serving/_forwarding.py
@@ -8,7 +8,12 @@
 import trio
 
 from coppercleat.observability import part_logger
-from coppercleat.quarantine import EndWatch, Standing, Verdict, shown
+from coppercleat.quarantine import (
+    CrashDetector,
+    Verdict,
+    VerdictKind,
+    format_fingerprint,
+)
 from coppercleat.serving._admission import Admission
 from coppercleat.serving._admission_queue import TooLate, Waiter
 from coppercleat.serving._answer_use import Unfit, use_of
@@ -50,10 +55,10 @@
 _REFUSALS = frozenset({NextStep.REFUSE_AS_NOT_RUN})
 
 _BARRED = {
-    Standing.HELD: "upstreams may have ended while they ran this request",
-    Standing.UNSTEADY: "{ends} upstreams ended while they ran this request, and those "
-    "that are left have just started",
-    Standing.QUARANTINED: "{ends} upstreams ended while they ran this request",
+    VerdictKind.HELD: "upstreams may have ended while they ran this request",
+    VerdictKind.UNSTEADY: "{ends} upstreams ended while they ran this request, and "
+    "those that are left have just started",
+    VerdictKind.QUARANTINED: "{ends} upstreams ended while they ran this request",
 }
 
 _log = part_logger("forward")
@@ -87,7 +92,7 @@
         *,
         on_end: Callable[[RequestEnd], None],
         silent_runs: SilentRuns | None = None,
-        end_watch: EndWatch[UpstreamState] | None = None,
+        crash_detector: CrashDetector[UpstreamState] | None = None,
     ) -> None:
         """Prepares the forwarder.
 
@@ -96,7 +101,7 @@
           caller: Reaches upstreams.
           on_end: Told how each request ended.
           silent_runs: Told of runs that were left while unheard; None for its own.
-          end_watch: Knows requests that end their upstreams; None for its own.
+          crash_detector: Knows requests that end their upstreams; None for its own.
         """
         self.admission = admission
         self.placement = admission.queue.placement
@@ -104,7 +109,7 @@
         self.on_end = on_end
         self.silence = SilenceWatch(self.placement)
         self.silent_runs = silent_runs or SilentRuns()
-        self.end_watch = end_watch or EndWatch(life_question(caller))
+        self.crash_detector = crash_detector or CrashDetector(life_question(caller))
 
     async def forward(
         self, request: OnlineRequest, route: Route, reply: Reply
@@ -132,12 +137,12 @@
     async def _attempts(self, exchange: Exchange) -> NextStep:
         while True:
             # At once, since it would wait for a slot only to be refused.
-            verdict = self.end_watch.verdict(exchange.request)
+            verdict = self.crash_detector.verdict(exchange.request)
             if not verdict.may_run:
                 return self._bar(exchange, verdict)
             if exchange.progress.started:
                 # Its client waits in the middle of the answer.
-                verdict = attrs.evolve(verdict, wary=False)
+                verdict = attrs.evolve(verdict, steady_only=False)
             waiter = self._waiter(exchange, verdict)
             if self._waits_for_steady(exchange, waiter, verdict):
                 return self._bar(exchange, self._until_steady(waiter, verdict))
@@ -148,7 +153,7 @@
                     exchange.reason = slot.reason
                     exchange.retry_after_s = _retry_after_s(slot)
                     return exchange.progress.give_up()
-                barred = self.end_watch.admit(exchange.request)
+                barred = self.crash_detector.admit(exchange.request)
                 if not barred.may_run:
                     return self._bar(exchange, barred)
                 end = await self._attempt(exchange, slot)
@@ -169,7 +174,7 @@
         self, exchange: Exchange, waiter: Waiter, verdict: Verdict
     ) -> bool:
         """Returns whether only upstreams are left that have just started."""
-        if not verdict.wary:
+        if not verdict.steady_only:
             return False
         serves, now = self.placement.serves, trio.current_time()
         service, tried = waiter.service, exchange.tried
@@ -178,13 +183,15 @@
 
     def _until_steady(self, waiter: Waiter, verdict: Verdict) -> Verdict:
         wait_s = self.placement.steady_in_s(waiter.service, now=trio.current_time())
-        return Verdict(Standing.UNSTEADY, max(NOWHERE_RETRY_S, wait_s), verdict.ends)
+        return Verdict(
+            VerdictKind.UNSTEADY, max(NOWHERE_RETRY_S, wait_s), verdict.crashes
+        )
 
     def _bar(self, exchange: Exchange, verdict: Verdict) -> NextStep:
         """Ends a request that has ended its upstreams, or may have."""
-        exchange.reason = _BARRED[verdict.standing].format(ends=verdict.ends)
+        exchange.reason = _BARRED[verdict.kind].format(ends=verdict.crashes)
         exchange.retry_after_s = verdict.retry_after_s
-        self.end_watch.on_barred(verdict.standing.value)
+        self.crash_detector.on_blocked(verdict.kind.value)
         return exchange.progress.give_up()
 
     def _waiter(self, exchange: Exchange, verdict: Verdict) -> Waiter:
@@ -239,7 +246,9 @@
             exchange.progress.runs += 1
             if attempt.state is AttemptState.SENT:
                 self._left(exchange, state, silent=False)
-                self.end_watch.left(exchange.request.fingerprint, state)
+                self.crash_detector.record_abandonment(
+                    exchange.request.fingerprint, state
+                )
             self._judge_silence(exchange, state)
 
     async def _attempt_until_stall(
@@ -317,23 +326,23 @@
         """Notes what an attempt tells of the upstream's health."""
         now = trio.current_time()
         if end is AttemptEnd.COMPLETE:
-            self.end_watch.note_answer(exchange.request)
+            self.crash_detector.record_response(exchange.request)
         elif attempt.state is not AttemptState.QUEUED and (
             exchange.silent or exchange.disconnected
         ):
             fingerprint = exchange.request.fingerprint
-            self.end_watch.broke_off(
+            self.crash_detector.record_interruption(
                 fingerprint,
                 state,
                 began=exchange.sent_at,
                 silent=exchange.silent,
-                moved_on_s=exchange.heard_at - exchange.sent_at,
+                progress_s=exchange.heard_at - exchange.sent_at,
             )
         if end is AttemptEnd.NOT_RUN:
-            self.end_watch.not_run(exchange.request)
+            self.crash_detector.cancel_trial(exchange.request)
         if attempt.state is AttemptState.QUEUED:
             state.failed(now, reached=False)
-            self.end_watch.unreachable(state)
+            self.crash_detector.record_connect_failure(state)
         elif end in (AttemptEnd.LOST, AttemptEnd.CUT):
             if not exchange.silent or self.silent_runs.blames(state, exchange.heard_at):
                 state.failed(now)
@@ -391,7 +400,9 @@
             "Request ended.",
             request=exchange.request.request_id,
             # What was answered is not looked for by it, and a hash costs time.
-            fingerprint=None if done else shown(exchange.request.fingerprint),
+            fingerprint=None
+            if done
+            else format_fingerprint(exchange.request.fingerprint),
             route=exchange.route.name,
             outcome=step.value,
             upstream=exchange.upstream,
--- a/src/coppercleat/serving/_life_question.py
+++ b/src/coppercleat/serving/_life_question.py
@@ -5,7 +5,7 @@
 from collections.abc import Awaitable, Callable
 
 from coppercleat.observability import part_logger
-from coppercleat.quarantine import Finding
+from coppercleat.quarantine import ProbeResult
 from coppercleat.serving._upstream_call import (
     NothingListensError,
     UpstreamBrokeError,
@@ -14,9 +14,9 @@
 from coppercleat.serving._upstream_state import UpstreamState
 
 _FINDINGS = {
-    None: Finding.SOMETHING_LISTENS,
-    False: Finding.OTHER_LIFE,
-    True: Finding.SAME_LIFE,
+    None: ProbeResult.SOMETHING_LISTENS,
+    False: ProbeResult.OTHER_INCARNATION,
+    True: ProbeResult.SAME_INCARNATION,
 }
 
 _log = part_logger("quarantine")
@@ -24,17 +24,17 @@
 
 def life_question(
     caller: UpstreamCaller,
-) -> Callable[[UpstreamState], Awaitable[Finding]]:
-    """Returns the question that ``EndWatch`` puts to upstreams."""
+) -> Callable[[UpstreamState], Awaitable[ProbeResult]]:
+    """Returns the question that ``CrashDetector`` puts to upstreams."""
 
-    async def ask(state: UpstreamState) -> Finding:
+    async def ask(state: UpstreamState) -> ProbeResult:
         try:
             report = await caller.report(state.upstream)
         except NothingListensError:
-            return Finding.NOTHING_LISTENS
+            return ProbeResult.NOTHING_LISTENS
         except UpstreamBrokeError as error:
             _log.debug("An upstream did not report.", reason=str(error))
-            return Finding.NO_ANSWER
+            return ProbeResult.NO_ANSWER
         _log.debug(
             "An upstream reports.",
             upstream=state.id,
--- a/src/coppercleat/serving/_peers.py
+++ b/src/coppercleat/serving/_peers.py
@@ -21,7 +21,7 @@
     Way,
 )
 from coppercleat.observability import part_logger
-from coppercleat.quarantine import EndsSeen, Fingerprint, ToldEnd
+from coppercleat.quarantine import CrashReport, CrashUpdate, Fingerprint
 from coppercleat.serving._dropped_messages import DroppedMessages
 from coppercleat.serving._fleet_order import Waiting
 from coppercleat.serving._model import RouteConfig, Upstream
@@ -148,7 +148,7 @@
     | WorkInFlight
     | ZoneWork
     | ResultsSeen
-    | EndsSeen
+    | CrashUpdate
     | KnowledgeWanted
     | Knowledge
     | JobTaken
@@ -215,8 +215,8 @@
         self.on_handover: Callable[[JobId, list[ItemEvents]], None] = (
             lambda job, items: None
         )
-        self.ends: Callable[[], tuple[ToldEnd, ...]] = tuple
-        self.on_ends: Callable[[InstanceId, EndsSeen], bool] = lambda sender, seen: (
+        self.ends: Callable[[], tuple[CrashReport, ...]] = tuple
+        self.on_ends: Callable[[InstanceId, CrashUpdate], bool] = lambda sender, seen: (
             False
         )
         self.dropped = DroppedMessages()
@@ -273,16 +273,16 @@
             self.messenger.send(instance, JobTaken(job))
 
     def ends_found(
-        self, ends: tuple[ToldEnd, ...], cleared: tuple[Fingerprint, ...]
+        self, ends: tuple[CrashReport, ...], cleared: tuple[Fingerprint, ...]
     ) -> None:
         """Tells others of upstreams that ended under requests.
 
         In a large fleet a few are told, who pass on what is news to them: as many links
         as members can't be kept, and what a link carries is lost when it is closed.
         """
-        self._spread_ends(EndsSeen(ends, cleared))
+        self._spread_ends(CrashUpdate(ends, cleared))
 
-    def _spread_ends(self, seen: EndsSeen) -> None:
+    def _spread_ends(self, seen: CrashUpdate) -> None:
         others = self.others()
         if len(others) > _TELL_ALL:
             others = self.detector.audience()
@@ -449,7 +449,7 @@
         """Tells one that was not heard of for a while what it may have missed."""
         ends = self.ends()
         if ends:
-            self.messenger.send(instance, EndsSeen(ends))
+            self.messenger.send(instance, CrashUpdate(ends))
 
     def _teach(self) -> None:
         """Tells ends to those that were heard anew, and to one other by chance.
@@ -462,7 +462,7 @@
         ends = self.ends()
         for instance in {*self._to_teach, *([chosen] if chosen else [])}:
             if ends:
-                self.messenger.send(instance, EndsSeen(ends))
+                self.messenger.send(instance, CrashUpdate(ends))
         self._to_teach = {
             instance: beats - 1
             for instance, beats in self._to_teach.items()
@@ -562,8 +562,8 @@
     def _on_results(self, sender: InstanceId, seen: ResultsSeen) -> None:
         self.placement.observe_results(seen.results, now=trio.current_time())
 
-    @_handlers.handles(EndsSeen)
-    def _on_ends(self, sender: InstanceId, seen: EndsSeen) -> None:
+    @_handlers.handles(CrashUpdate)
+    def _on_ends(self, sender: InstanceId, seen: CrashUpdate) -> None:
         news = self.on_ends(sender, seen)
         if news and len(self.others()) > _TELL_ALL:
             self._spread_ends(seen)
--- a/src/coppercleat/serving/_placement.py
+++ b/src/coppercleat/serving/_placement.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from coppercleat.ids import InstanceId, UpstreamId, ZoneId
-from coppercleat.quarantine import End, Verdict
+from coppercleat.quarantine import Crash, Verdict
 from coppercleat.serving._demand import Demand
 from coppercleat.serving._fleet_order import FleetOrder
 from coppercleat.serving._model import Route, Target, Upstream
@@ -131,7 +131,7 @@
                 state.listed(upstream)
         return gone
 
-    def note_end(self, end: End, run_began: float) -> None:
+    def note_end(self, end: Crash, run_began: float) -> None:
         """Notes that an upstream has ended, as found here or told by others.
 
         Args:
@@ -142,7 +142,7 @@
         if state is not None:
             self.steadiness.note_end(state, end, run_began=run_began)
 
-    def take_back_end(self, end: End) -> None:
+    def take_back_end(self, end: Crash) -> None:
         """Notes that an upstream that seemed to have ended lives on."""
         state = self.states.get(end.upstream)
         if state is not None:
@@ -241,12 +241,12 @@
           service: The service that takes it.
           now: Seconds on this instance's clock.
         """
-        if not verdict.ends:
+        if not verdict.crashes:
             return set()
         usable = list(self._usable(service))
         unsteady = {state.id for state in usable if now < state.steady_from}
         others = (state for state in usable if state.id not in unsteady)
-        if verdict.wary or any(state.health.may_try(now) for state in others):
+        if verdict.steady_only or any(state.health.may_try(now) for state in others):
             return unsteady
         return set()
 
--- a/src/coppercleat/serving/_steadiness.py
+++ b/src/coppercleat/serving/_steadiness.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from coppercleat.quarantine import SAME_END_S, End
+from coppercleat.quarantine import SAME_CRASH_WINDOW_S, Crash
 from coppercleat.serving._upstream_state import UpstreamState
 
 STEADY_S = 2.0
@@ -64,7 +64,7 @@
         state.among_short = bool(self._recent(state))
         state.steady_from = self._steady_from(state)
 
-    def note_end(self, state: UpstreamState, end: End, *, run_began: float) -> None:
+    def note_end(self, state: UpstreamState, end: Crash, *, run_began: float) -> None:
         """Notes an end, which several may tell of, and some notice late.
 
         Args:
@@ -73,7 +73,7 @@
           run_began: When a run began that met it.
         """
         at = end.at
-        if run_began <= state.ended_at or at < state.ended_at + SAME_END_S:
+        if run_began <= state.ended_at or at < state.ended_at + SAME_CRASH_WINDOW_S:
             return  # It is known, or older than what is.
         if state.upstream.is_same_life(end.born_ms) is False:
             # Of which the start is no longer known: the next life is listed already.
--- a/src/coppercleat/serving/_upstream_state.py
+++ b/src/coppercleat/serving/_upstream_state.py
@@ -5,7 +5,7 @@
 import attrs
 
 from coppercleat.ids import UpstreamId
-from coppercleat.quarantine import SAME_END_S
+from coppercleat.quarantine import SAME_CRASH_WINDOW_S
 from coppercleat.routing import Health
 from coppercleat.serving._model import Upstream
 from coppercleat.serving._results import RecentResults
@@ -106,7 +106,7 @@
           began: When the run began, in trio's time.
           at: When it broke off.
         """
-        if began <= self.ended_at or at - self.ended_at < SAME_END_S:
+        if began <= self.ended_at or at - self.ended_at < SAME_CRASH_WINDOW_S:
             return self.ended_steady
         return at >= self.steady_from or not self.among_short
 
--- a/src/coppercleat/serving/_watch.py
+++ b/src/coppercleat/serving/_watch.py
@@ -14,7 +14,7 @@
 from coppercleat.errors import CoppercleatError, PlatformUnavailableError
 from coppercleat.ids import InstanceId, UpstreamId, ZoneId
 from coppercleat.observability import part_logger
-from coppercleat.quarantine import KeptEnds
+from coppercleat.quarantine import QuarantineRecord
 from coppercleat.serving._model import RouteConfig, RouteTable, Upstream
 from coppercleat.serving._node import GatewaySettings
 from coppercleat.serving._pauses import (
@@ -91,7 +91,7 @@
     peers: str
     zone: ZoneId
     leaving: bool = False
-    quarantined: tuple[KeptEnds, ...] = ()
+    quarantined: tuple[QuarantineRecord, ...] = ()
 
 
 class UpstreamList:
@@ -170,8 +170,10 @@
         self.on_members: Callable[[list[tuple[InstanceId, str, ZoneId]]], None] = (
             lambda members: None
         )
-        self.kept_ends: Callable[[], tuple[KeptEnds, ...]] = tuple
-        self.on_kept_ends: Callable[[tuple[KeptEnds, ...]], None] = lambda kept: None
+        self.kept_ends: Callable[[], tuple[QuarantineRecord, ...]] = tuple
+        self.on_kept_ends: Callable[[tuple[QuarantineRecord, ...]], None] = (
+            lambda kept: None
+        )
         self._list = UpstreamList()
         self._upstreams: tuple[Upstream, ...] = ()
         self._upstreams_at = float("-inf")
--- a/src/coppercleat/upstreams/_client.py
+++ b/src/coppercleat/upstreams/_client.py
@@ -22,7 +22,7 @@
     error_kind,
 )
 from coppercleat.ids import UpstreamId
-from coppercleat.quarantine import Finding
+from coppercleat.quarantine import ProbeResult
 from coppercleat.upstreams._attempt import Attempt, AttemptState
 from coppercleat.upstreams._events import EventParser, MalformedStreamError
 from coppercleat.upstreams._kept import KeptConnections
@@ -178,7 +178,7 @@
         except (msgspec.MsgspecError, MalformedStreamError):
             return None
 
-    async def look(self) -> Finding:
+    async def look(self) -> ProbeResult:
         """Finds out whether anything listens at the upstream's address.
 
         It only connects: a plain service would run whatever it is sent.
@@ -191,8 +191,8 @@
             )
         except (OSError, trio.TooSlowError) as error:
             if nothing_listens(error):
-                return Finding.NOTHING_LISTENS
-            return Finding.NO_ANSWER
+                return ProbeResult.NOTHING_LISTENS
+            return ProbeResult.NO_ANSWER
         async with stream:
             with (
                 trio.move_on_after(_HOLDS_S) as held,
@@ -200,8 +200,8 @@
             ):
                 await stream.receive_some(1)
         if held.cancelled_caught:
-            return Finding.SOMETHING_LISTENS
-        return Finding.NO_ANSWER
+            return ProbeResult.SOMETHING_LISTENS
+        return ProbeResult.NO_ANSWER
 
     async def order(self, action: str, version: str, *, fence: int) -> list[str]:
         """Orders the engine to load or unload a version.
--- a/tests/features/steps/kept_item_steps.py
+++ b/tests/features/steps/kept_item_steps.py
@@ -9,7 +9,7 @@
 
 from coppercleat.ids import RequestId, UpstreamId
 from coppercleat.jobs import JobIndex
-from coppercleat.quarantine import End, ToldEnd
+from coppercleat.quarantine import Crash, CrashReport
 from coppercleat.serving import OnlineRequest, UpstreamAnswer
 from coppercleat.upstreams import AttemptState
 from tests.harness import (
@@ -47,19 +47,19 @@
 
 def hold_against(watch, fingerprint, ends):
     for number in range(ends):
-        end = End(UpstreamId(f"u{number}"), trio.current_time(), number=1)
-        watch.ledger.ended(fingerprint, end)
+        end = Crash(UpstreamId(f"u{number}"), trio.current_time(), number=1)
+        watch.history.record_crash(fingerprint, end)
 
 
 def take_back(watch, fingerprint):
-    end = watch.ledger.ends_of(fingerprint)[-1]
-    told = ToldEnd.of(fingerprint, end, now=trio.current_time(), withdrawn=True)
-    watch.take_news("peer", (told,), ())
+    end = watch.history.crashes_of(fingerprint)[-1]
+    told = CrashReport.of(fingerprint, end, now=trio.current_time(), retracted=True)
+    watch.apply_update("peer", (told,), ())
 
 
 AFTERWARDS = {
     "its answer clears it": lambda watch, fingerprint: watch.answered(fingerprint),
-    "another tells that it was answered": lambda watch, fingerprint: watch.take_news(
+    "another tells that it was answered": lambda watch, fingerprint: watch.apply_update(
         "peer", (), (fingerprint,)
     ),
     "an end is taken back": take_back,
@@ -74,7 +74,7 @@
         worker = make_worker(repository, job_index)
         job = job_of_distinct_items(COUNT)
         fingerprint = fingerprint_of(job.items[0])
-        watch = worker.items.end_watch
+        watch = worker.items.crash_detector
         hold_against(watch, fingerprint, ends)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(worker.run)
@@ -144,7 +144,7 @@
         [state] = placement.states.values()
         placement.replace([msgspec.structs.replace(state.upstream, slots=slots)])
         job = job_of_distinct_items(count)
-        hold_against(worker.items.end_watch, fingerprint_of(job.items[6]), ends)
+        hold_against(worker.items.crash_detector, fingerprint_of(job.items[6]), ends)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(worker.run)
             await trio.sleep(0.1)
--- a/tests/features/steps/quarantine_decision_steps.py
+++ b/tests/features/steps/quarantine_decision_steps.py
@@ -10,13 +10,13 @@
 
 from coppercleat.ids import InstanceId, RequestId, UpstreamId, ZoneId
 from coppercleat.quarantine import (
-    ITEM_PAUSES_S,
-    End,
-    EndKeeper,
-    EndLedger,
-    EndWatch,
-    Standing,
-    ToldEnd,
+    ITEM_QUARANTINE_PERIODS_S,
+    Crash,
+    CrashDetector,
+    CrashHistory,
+    CrashReport,
+    QuarantineStore,
+    VerdictKind,
     fingerprint_of,
 )
 from coppercleat.serving import (
@@ -66,27 +66,27 @@
 
 def end_of(name, at):
     """Returns an end of an upstream; "a1" is the first life of upstream a."""
-    return End(UpstreamId(name[:1]), at, born_ms=int(name[1:] or 0))
+    return Crash(UpstreamId(name[:1]), at, born_ms=int(name[1:] or 0))
 
 
-def learn(ledger, at, what, args):
+def learn(history, at, what, args):
     told_at = float(args[1]) if len(args) > 1 else at
     number = int(args[2]) if len(args) > 2 and what != "row" else 1
     learnt = {
-        "end": lambda: see(ledger, args[0], at, told_at),
-        "late": lambda: tell(ledger, args[0], at, told_at, number=number),
-        "lives": lambda: tell(ledger, args[0], at, told_at, withdrawn=True),
-        "broke": lambda: ledger.broke_off(FINGERPRINT, args[0]),
-        "settled": lambda: ledger.settled(FINGERPRINT, args[0]),
-        "answer": lambda: ledger.clear(FINGERPRINT, now=at),
-        "trial": lambda: ledger.begin_trial(FINGERPRINT, now=at),
-        "untried": lambda: ledger.give_back_trial(FINGERPRINT),
-        "weak": lambda: see(ledger, args[0], at, told_at, weak=True),
-        "untold": lambda: ledger.take_told(
-            [ToldEnd(FINGERPRINT, UpstreamId(args[0]), 0.0)], (), now=at
+        "end": lambda: see(history, args[0], at, told_at),
+        "late": lambda: tell(history, args[0], at, told_at, number=number),
+        "lives": lambda: tell(history, args[0], at, told_at, retracted=True),
+        "broke": lambda: history.record_interruption(FINGERPRINT, args[0]),
+        "settled": lambda: history.resolve_interruption(FINGERPRINT, args[0]),
+        "answer": lambda: history.clear(FINGERPRINT, now=at),
+        "trial": lambda: history.begin_trial(FINGERPRINT, now=at),
+        "untried": lambda: history.cancel_trial(FINGERPRINT),
+        "weak": lambda: see(history, args[0], at, told_at, weak=True),
+        "untold": lambda: history.merge_reports(
+            [CrashReport(FINGERPRINT, UpstreamId(args[0]), 0.0)], (), now=at
         ),
-        "heard": lambda: ledger.take_told((), (), now=at),
-        "row": lambda: ledger.adopt(FINGERPRINT, row_of(args)),
+        "heard": lambda: history.merge_reports((), (), now=at),
+        "row": lambda: history.adopt(FINGERPRINT, row_of(args)),
     }
     learnt[what]()
 
@@ -99,35 +99,35 @@
     ]
 
 
-def see(ledger, name, at, run_began, *, weak=False):
+def see(history, name, at, attempt_began, *, weak=False):
     seen = attrs.evolve(end_of(name, at), weak=weak)
-    end = ledger.identified(FINGERPRINT, seen, run_began=run_began)
-    ledger.ended(FINGERPRINT, end)
+    end = history.identify_crash(FINGERPRINT, seen, attempt_began=attempt_began)
+    history.record_crash(FINGERPRINT, end)
 
 
-def tell(ledger, name, now, at, *, number=1, withdrawn=False):
+def tell(history, name, now, at, *, number=1, retracted=False):
     end = attrs.evolve(end_of(name, at), number=number)
-    told = ToldEnd.of(FINGERPRINT, end, now=now, withdrawn=withdrawn)
-    ledger.take_told([told], (), now=now)
+    told = CrashReport.of(FINGERPRINT, end, now=now, retracted=retracted)
+    history.merge_reports([told], (), now=now)
 
 
 @when("of a request it is learnt, by the second: {learnt}")
 def learnt_of_request(context, learnt):
-    context.ledger = EndLedger()
+    context.history = CrashHistory()
     for entry in learnt.split(", ") if learnt != "nothing" else ():
         at, what, *args = entry.split()
-        learn(context.ledger, float(at), what, args)
+        learn(context.history, float(at), what, args)
 
 
 @then("at {at:g} s it is {standing}, for {retry:g} s")
 def stands(context, at, standing, retry):
-    verdict = context.ledger.verdict(FINGERPRINT, now=at)
-    expected = Standing.FREE
+    verdict = context.history.verdict(FINGERPRINT, now=at)
+    expected = VerdictKind.FREE
     if standing == "trial":
-        expected = Standing.QUARANTINED
+        expected = VerdictKind.QUARANTINED
     elif standing != "free":
-        expected = Standing(standing)
-    assert verdict.standing is expected, verdict
+        expected = VerdictKind(standing)
+    assert verdict.kind is expected, verdict
     assert abs(verdict.retry_after_s - retry) < 1e-6, verdict
 
 
@@ -135,7 +135,7 @@
 
 
 def tell_of_end(watch, state, placement):
-    watch.take_news("peer", (ToldEnd(OTHER, state.id, 0.01),), ())
+    watch.apply_update("peer", (CrashReport(OTHER, state.id, 0.01),), ())
 
 
 AFTERWARDS = {
@@ -149,11 +149,13 @@
         placement.replace([upstream(draining=True)]),
         placement.replace([]),
     ),
-    "ends under others": lambda watch, state, placement: watch.broke_off(OTHER, state),
+    "ends under others": lambda watch, state, placement: watch.record_interruption(
+        OTHER, state
+    ),
     "ends under others, elsewhere told": tell_of_end,
     "ends under others, told again late": tell_of_end,
     "is found gone by the next request": lambda watch, state, placement: (
-        watch.unreachable(state)
+        watch.record_connect_failure(state)
     ),
 }
 
@@ -189,10 +191,10 @@
     state = placement.states[UpstreamId("a")]
     if does == "is no longer listed":
         placement.replace([])
-    watch = EndWatch(life_question(AskedUpstream(answers)))
+    watch = CrashDetector(life_question(AskedUpstream(answers)))
     # Others end up with the same.
-    other = EndLedger()
-    watch.on_news = lambda found, cleared: other.take_told(
+    other = CrashHistory()
+    watch.on_update = lambda found, cleared: other.merge_reports(
         found, cleared, now=trio.current_time()
     )
 
@@ -201,10 +203,12 @@
             nursery.start_soon(watch.run)
             await trio.testing.wait_all_tasks_blocked()
             if breaks.startswith("is left"):
-                watch.left(FINGERPRINT, state)
+                watch.record_abandonment(FINGERPRINT, state)
                 await trio.sleep(2.0 if "before" in breaks else 0.1)
             else:
-                watch.broke_off(FINGERPRINT, state, silent=breaks == "falls silent")
+                watch.record_interruption(
+                    FINGERPRINT, state, silent=breaks == "falls silent"
+                )
             if does in AFTERWARDS:
                 AFTERWARDS[does](watch, state, placement)
             if does.endswith("told again late"):
@@ -214,8 +218,8 @@
             nursery.cancel_scope.cancel()
 
     trio.run(play, clock=trio.testing.MockClock(autojump_threshold=0))
-    assert len(watch.ledger.upstreams_of(FINGERPRINT)) == ends
-    assert len(other.upstreams_of(FINGERPRINT)) == ends
+    assert len(watch.history.crashed_upstreams_of(FINGERPRINT)) == ends
+    assert len(other.crashed_upstreams_of(FINGERPRINT)) == ends
 
 
 @then("the fingerprint is {same} with another {part}")
@@ -298,7 +302,7 @@
 
     def __init__(self, name, platform, boot, *, wall_ahead_s=0.0):
         rng = random.Random(name)
-        self.ledger = EndLedger()
+        self.history = CrashHistory()
         self.watch = Watch(
             node_settings(name, "a"),
             None,
@@ -307,17 +311,19 @@
             boot=boot,
             rng=rng,
         )
-        self.keeper = EndKeeper(
-            self.ledger, clock=lambda: time.time() + wall_ahead_s, keeps=lambda f: True
+        self.keeper = QuarantineStore(
+            self.history,
+            clock=lambda: time.time() + wall_ahead_s,
+            should_store=lambda f: True,
         )
-        self.watch.kept_ends = self.keeper.to_keep
-        self.watch.on_kept_ends = self.keeper.take_kept
+        self.watch.kept_ends = self.keeper.export_records
+        self.watch.on_kept_ends = self.keeper.import_records
 
     def learn(self, ends):
         now = trio.current_time()
         for number in range(ends):
-            end = End(UpstreamId(f"u{number}"), now - 10 + number, number=1)
-            self.ledger.ended(FINGERPRINT, end)
+            end = Crash(UpstreamId(f"u{number}"), now - 10 + number, number=1)
+            self.history.record_crash(FINGERPRINT, end)
 
 
 LEARNERS = {
@@ -337,50 +343,52 @@
     if learns == "starts under the same name":
         again = Kept("first", platform, "b-2")
         await again.watch._renew()
-        return again.ledger
+        return again.history
     how = dict(LEARNERS[learns])
     other = Kept("other", platform, "b", wall_ahead_s=how.get("wall_ahead_s", 0.0))
     other.learn(how.get("knew", 0))
     if how.get("answered"):
         other.learn(1)
-        other.ledger.clear(FINGERPRINT, now=trio.current_time())
+        other.history.clear(FINGERPRINT, now=trio.current_time())
     for _ in range(how.get("reads", 1)):
         await first.watch._renew()
         await other.watch._poll_instances()
-    return other.ledger
+    return other.history
 
 
 @when("an instance knows of {ends:d} ends under a request, and another {learns}")
 def learns_ends(context, ends, learns):
-    context.ledger = trio.run(learn_from_rows, ends, learns)
+    context.history = trio.run(learn_from_rows, ends, learns)
 
 
 @then("the other knows of {known:d}")
 def knows_ends(context, known):
-    assert len(context.ledger.upstreams_of(FINGERPRINT)) == known
+    assert len(context.history.crashed_upstreams_of(FINGERPRINT)) == known
 
 
 @when("of two requests one met the ends {one}, the other {other}")
 def two_requests(context, one, other):
-    context.ledger = ledger = EndLedger()
+    context.history = history = CrashHistory()
     met = {OTHER: one.split(), FINGERPRINT: other.split()}
     for at, name in enumerate("abcdef"):
         for fingerprint, names in met.items():
             for weak in (False, True):
                 if name + "~" * weak in names:
-                    end = End(UpstreamId(name), float(at), number=1, weak=weak)
-                    ledger.ended(fingerprint, end)
+                    end = Crash(UpstreamId(name), float(at), number=1, weak=weak)
+                    history.record_crash(fingerprint, end)
     # Word of the same ends comes late from others, and changes nothing.
     for at, name in enumerate("abcdef"):
         if {name, name + "~"} & set(met[FINGERPRINT]):
-            tell(ledger, name, 9.0, float(at))
+            tell(history, name, 9.0, float(at))
 
 
 @then("{held:d} ends are held against the other; as an item it may run after {s:d} s")
 def ends_of_other(context, held, s):
-    ledger = context.ledger
-    last = max(end.at for end in ledger.ends_of(FINGERPRINT))
-    verdict = ledger.verdict(FINGERPRINT, now=last, pauses_s=ITEM_PAUSES_S)
-    assert verdict.ends == held, verdict
+    history = context.history
+    last = max(end.at for end in history.crashes_of(FINGERPRINT))
+    verdict = history.verdict(
+        FINGERPRINT, now=last, periods_s=ITEM_QUARANTINE_PERIODS_S
+    )
+    assert verdict.crashes == held, verdict
     assert abs(verdict.retry_after_s - s) < 1e-6, verdict
-    assert (FINGERPRINT in ledger.quarantined(now=last)) == (s > 0)
+    assert (FINGERPRINT in history.quarantined(now=last)) == (s > 0)
--- a/tests/features/steps/steadiness_steps.py
+++ b/tests/features/steps/steadiness_steps.py
@@ -9,12 +9,12 @@
 
 from coppercleat.ids import UpstreamId, ZoneId
 from coppercleat.quarantine import (
-    End,
-    EndLedger,
-    EndWatch,
-    Finding,
+    Crash,
+    CrashDetector,
+    CrashHistory,
+    CrashReport,
     Fingerprint,
-    ToldEnd,
+    ProbeResult,
 )
 from coppercleat.serving import (
     AdmissionQueue,
@@ -59,7 +59,7 @@
             return
         what, at = what.rsplit(" at ", 1)
         now = float(at)
-        end = End(self.upstream.id, now, self.upstream.born_ms)
+        end = Crash(self.upstream.id, now, self.upstream.born_ms)
         if what == "ends":
             self.placement.note_end(end, now)
             return
@@ -135,38 +135,38 @@
     lives = Lives()
     for what in LIVED[lived]:
         lives.learn(what)
-    watch, other = EndWatch(life_question(Gone())), EndLedger()
-    watch.on_ended = lives.placement.note_end
-    watch.on_news = lambda ends, cleared: other.take_told(
+    watch, other = CrashDetector(life_question(Gone())), CrashHistory()
+    watch.on_crash = lives.placement.note_end
+    watch.on_update = lambda ends, cleared: other.merge_reports(
         ends, cleared, now=trio.current_time()
     )
 
     async def play():
         await trio.sleep(100.0 - trio.current_time())
         if lived.endswith("another tells"):
-            told = ToldEnd(OTHER, lives.upstream.id, 1.0, born_ms=1)
-            watch.take_news("peer", (told,), ())
-        began_s, moved_on_s = RUNS[run]
+            told = CrashReport(OTHER, lives.upstream.id, 1.0, born_ms=1)
+            watch.apply_update("peer", (told,), ())
+        began_s, progress_s = RUNS[run]
         async with trio.open_nursery() as nursery:
             nursery.start_soon(watch.run)
             await trio.testing.wait_all_tasks_blocked()
-            watch.broke_off(
+            watch.record_interruption(
                 FINGERPRINT,
                 lives.state,
                 began=trio.current_time() - began_s,
-                moved_on_s=moved_on_s,
+                progress_s=progress_s,
             )
             await trio.sleep(1.0)
             nursery.cancel_scope.cancel()
 
     trio.run(play, clock=trio.testing.MockClock(autojump_threshold=0))
-    context.ledgers = [watch.ledger, other]
+    context.histories = [watch.history, other]
 
 
 @then("the end counts {counts}, here and where it is told")
 def counts_so(context, counts):
-    for ledger in context.ledgers:
-        [end] = ledger.ends_of(FINGERPRINT)
+    for history in context.histories:
+        [end] = history.crashes_of(FINGERPRINT)
         assert end.weak == (counts == "half"), end
 
 
@@ -192,11 +192,11 @@
 
 
 def verdict_with(ends, *, at, now=None):
-    ledger = EndLedger()
+    history = CrashHistory()
     for number in range(ends):
-        end = End(UpstreamId(f"u{number}"), at, number=1)
-        ledger.ended(FINGERPRINT, end)
-    return ledger.verdict(FINGERPRINT, now=at if now is None else now)
+        end = Crash(UpstreamId(f"u{number}"), at, number=1)
+        history.record_crash(FINGERPRINT, end)
+    return history.verdict(FINGERPRINT, now=at if now is None else now)
 
 
 @when("a request with {ends:d} ends waits for the one steady upstream, and {what}")
@@ -259,7 +259,7 @@
     """What stands before an upstream that has ended, until it has started again."""
 
     def __init__(self):
-        self.finding = Finding.NO_ANSWER
+        self.finding = ProbeResult.NO_ANSWER
 
     async def ask(self, state):
         return self.finding
@@ -268,7 +268,7 @@
 def play_ends(context, runs, *, proved, asked_at=106.0):
     """Plays runs at three upstreams: who, when each began and how long it lasted."""
     way = AcceptsAndCloses()
-    watch = EndWatch(way.ask)
+    watch = CrashDetector(way.ask)
     placement = Placement(ZoneId("z"), rng=random.Random(1))
     placement.replace([upstream(name) for name in "abc"], now=0.0)
 
@@ -277,16 +277,16 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(watch.run)
             if proved == "at once":
-                way.finding = Finding.NOTHING_LISTENS
+                way.finding = ProbeResult.NOTHING_LISTENS
             for who, began, lasted in runs:
                 await trio.sleep_until(100.0 + began + lasted)
                 for state in placement.states.values():
-                    watch.broke_off(who, state, began=100.0 + began)
+                    watch.record_interruption(who, state, began=100.0 + began)
             if proved != "not yet":
                 await trio.sleep(2.0)
-                way.finding = Finding.OTHER_LIFE
+                way.finding = ProbeResult.OTHER_INCARNATION
             await trio.sleep_until(asked_at)
-            context.verdict = watch.ledger.verdict(FINGERPRINT, now=asked_at)
+            context.verdict = watch.history.verdict(FINGERPRINT, now=asked_at)
             nursery.cancel_scope.cancel()
 
     trio.run(play, clock=trio.testing.MockClock(autojump_threshold=0))
@@ -317,7 +317,7 @@
 
 @then("the request is {standing}")
 def request_is(context, standing):
-    assert context.verdict.standing.value == standing, context.verdict
+    assert context.verdict.kind.value == standing, context.verdict
 
 
 @when(
@@ -325,23 +325,25 @@
     "and tells another of these"
 )
 def misses_answer(context, ends):
-    one, other = EndWatch(Gone().report), EndWatch(Gone().report)
-    other.on_news = lambda ends, cleared: one.take_news("other", ends, cleared)
+    one, other = CrashDetector(Gone().report), CrashDetector(Gone().report)
+    other.on_update = lambda ends, cleared: one.apply_update("other", ends, cleared)
 
     async def play():
         for number in range(ends):
-            end = End(UpstreamId(f"u{number}"), trio.current_time(), number=1)
+            end = Crash(UpstreamId(f"u{number}"), trio.current_time(), number=1)
             for watch in (one, other):
-                watch.ledger.ended(FINGERPRINT, end)
+                watch.history.record_crash(FINGERPRINT, end)
         async with trio.open_nursery() as nursery:
-            other.answered(FINGERPRINT)
+            other.clear(FINGERPRINT)
             other._unsent_clears.clear()
             nursery.start_soon(other.run)
             await trio.sleep(2.0)
-            other.take_news("one", one.ledger.told(now=trio.current_time()), ())
+            other.apply_update(
+                "one", one.history.crash_reports(now=trio.current_time()), ()
+            )
             await trio.sleep(1.0)
             now = trio.current_time()
-            context.verdict = one.ledger.verdict(FINGERPRINT, now=now)
+            context.verdict = one.history.verdict(FINGERPRINT, now=now)
             nursery.cancel_scope.cancel()
 
     trio.run(play, clock=trio.testing.MockClock(autojump_threshold=0))
--- a/tests/harness/_ends_play.py
+++ b/tests/harness/_ends_play.py
@@ -25,7 +25,7 @@
     JobWorker,
     Submission,
 )
-from coppercleat.quarantine import EndKeeper, EndWatch, KeptEnds
+from coppercleat.quarantine import CrashDetector, QuarantineRecord, QuarantineStore
 from coppercleat.serving import Placement, RouteConfig, RouteTable, life_question
 from coppercleat.storage import MemoryPlatform
 from tests.harness._ends_plan import (
@@ -83,12 +83,12 @@
         self.wakes_at = self.reads_rows_at = 0.0
         rng = random.Random(f"{play.plan.seed} {number} {start}")
         self.placement = Placement(ZoneId("a"), rng=rng)
-        self.watch = EndWatch(life_question(play.caller))
-        self.watch.on_ended = self.placement.note_end
-        self.keeper = EndKeeper(
-            self.watch.ledger,
+        self.watch = CrashDetector(life_question(play.caller))
+        self.watch.on_crash = self.placement.note_end
+        self.keeper = QuarantineStore(
+            self.watch.history,
             clock=trio.current_time,
-            keeps=lambda fingerprint: number < 3,
+            should_store=lambda fingerprint: number < 3,
         )
         self.index = JobIndex(play.memory)
         self.items = ItemRunner(
@@ -97,7 +97,7 @@
             instance=InstanceId(self.name),
             on_change=lambda state, started: None,
             on_end=lambda outcome: None,
-            end_watch=self.watch,
+            crash_detector=self.watch,
         )
         repository = JobRepository(play.memory, clock=trio.current_time, rng=rng)
         table = RouteTable(RouteConfig(version=1, routes=(ROUTE,)))
@@ -145,9 +145,9 @@
     async def _read_rows(self) -> None:
         while True:
             if trio.current_time() >= self.reads_rows_at:
-                self.play.rows[self.name] = self.keeper.to_keep()
+                self.play.rows[self.name] = self.keeper.export_records()
                 for kept in self.play.rows.values():
-                    self.keeper.take_kept(kept)
+                    self.keeper.import_records(kept)
             await trio.sleep(ROWS_EVERY_S)
 
     async def _read_counts(self) -> None:
@@ -177,7 +177,7 @@
         self.rng = random.Random(f"ways {plan.seed}")
         self.works = plan.item_works()
         self.up: list[Instance] = []
-        self.rows: dict[str, tuple[KeptEnds, ...]] = {}
+        self.rows: dict[str, tuple[QuarantineRecord, ...]] = {}
         self.ended: dict[str, list[float]] = {}
         self.begun: dict[str, list[float]] = {}
         self.problems: list[tuple[str, str]] = []
--- a/tests/harness/_word_play.py
+++ b/tests/harness/_word_play.py
@@ -16,12 +16,12 @@
 
 from coppercleat.ids import RequestId, UpstreamId
 from coppercleat.quarantine import (
-    EndKeeper,
-    EndWatch,
-    Finding,
+    CrashDetector,
     Fingerprint,
-    KeptEnds,
-    Standing,
+    ProbeResult,
+    QuarantineRecord,
+    QuarantineStore,
+    VerdictKind,
 )
 from tests.harness._ordered import run_in_order
 from tests.harness._words import Words, awake
@@ -116,8 +116,8 @@
 ITEM = Item()
 
 
-async def _nothing_listens(life: Life) -> Finding:
-    return Finding.NOTHING_LISTENS
+async def _nothing_listens(life: Life) -> ProbeResult:
+    return ProbeResult.NOTHING_LISTENS
 
 
 class Instance:
@@ -129,19 +129,21 @@
       kept: Its row.
     """
 
-    def __init__(self, name: str, keeps: bool) -> None:
+    def __init__(self, name: str, should_store: bool) -> None:
         self.name = name
-        self.watch: EndWatch[Life] = EndWatch(_nothing_listens)
-        self.keeper = EndKeeper(
-            self.watch.ledger, clock=trio.current_time, keeps=lambda f: keeps
+        self.watch: CrashDetector[Life] = CrashDetector(_nothing_listens)
+        self.keeper = QuarantineStore(
+            self.watch.history,
+            clock=trio.current_time,
+            should_store=lambda f: should_store,
         )
         self.wakes_at = 0.0
         self.most = 0
-        self.kept: tuple[KeptEnds, ...] = ()
+        self.kept: tuple[QuarantineRecord, ...] = ()
 
     def held(self) -> int:
         """Returns the ends that it holds against the item."""
-        return len(self.watch.ledger.ends_of(ITEM.fingerprint))
+        return len(self.watch.history.crashes_of(ITEM.fingerprint))
 
 
 @attrs.frozen
@@ -150,7 +152,7 @@
 
     at: float
     instance: str
-    standing: Standing
+    kind: VerdictKind
     ends: int
     retry_after_s: float
 
@@ -167,7 +169,7 @@
         self.seed = seed
         self.rng = random.Random(f"words {seed}")
         self.instances = [
-            Instance(f"i-{number}", keeps=number < KEEPERS)
+            Instance(f"i-{number}", should_store=number < KEEPERS)
             for number in range(course.instances)
         ]
         self.barred: list[Barred] = []
@@ -219,7 +221,7 @@
         began = trio.current_time() - 0.5
         # A run breaks off while its instance stands still, and is noticed later.
         await awake(owner)
-        owner.watch.broke_off(ITEM.fingerprint, life, began=began)
+        owner.watch.record_interruption(ITEM.fingerprint, life, began=began)
 
     # Rows.
 
@@ -228,9 +230,9 @@
         while True:
             await awake(instance)
             if not self.course.away[0] <= self._at() <= self.course.away[1]:
-                instance.kept = instance.keeper.to_keep()
+                instance.kept = instance.keeper.export_records()
                 for other in self.instances:
-                    instance.keeper.take_kept(other.kept)
+                    instance.keeper.import_records(other.kept)
             await trio.sleep(ROW_EVERY_S)
 
     # What is seen.
@@ -242,7 +244,7 @@
                 instance.most = max(instance.most, instance.held())
             owner = self._owner()
             verdict = owner.watch.verdict(ITEM, item=True)
-            shown = owner.name, verdict.standing, verdict.ends
+            shown = owner.name, verdict.kind, verdict.crashes
             if not verdict.may_run and shown != before:
                 retry_s = round(verdict.retry_after_s, 1)
                 self.barred.append(
--- a/tests/harness/_words.py
+++ b/tests/harness/_words.py
@@ -8,7 +8,7 @@
 
 import trio
 
-from coppercleat.quarantine import EndWatch, Fingerprint, ToldEnd
+from coppercleat.quarantine import CrashDetector, CrashReport, Fingerprint
 
 BEAT_S = 0.5
 WAY_S = 0.002
@@ -25,7 +25,7 @@
     """
 
     name: str
-    watch: EndWatch[Any]
+    watch: CrashDetector[Any]
     wakes_at: float
 
 
@@ -54,18 +54,18 @@
         """Has an instance's news told."""
 
         def tell(
-            ends: tuple[ToldEnd, ...], cleared: tuple[Fingerprint, ...] = ()
+            ends: tuple[CrashReport, ...], cleared: tuple[Fingerprint, ...] = ()
         ) -> None:
             self._spread(member, ends, cleared)
 
-        member.watch.on_news = tell
+        member.watch.on_update = tell
 
     async def beat(self, member: Teller) -> None:
         """Tells one by chance all that an instance knows, once a beat."""
         await trio.sleep(self.rng.uniform(0, BEAT_S))
         while True:
             await awake(member)
-            ends = member.watch.ledger.told(now=trio.current_time())
+            ends = member.watch.history.crash_reports(now=trio.current_time())
             others = self._others(member)
             if ends and others:
                 self._send(member, self.rng.choice(others), ends, ())
@@ -77,7 +77,7 @@
     def _spread(
         self,
         teller: Teller,
-        ends: tuple[ToldEnd, ...],
+        ends: tuple[CrashReport, ...],
         cleared: tuple[Fingerprint, ...],
     ) -> None:
         others = self._others(teller)
@@ -90,7 +90,7 @@
         self,
         teller: Teller,
         hearer: Teller,
-        ends: tuple[ToldEnd, ...],
+        ends: tuple[CrashReport, ...],
         cleared: tuple[Fingerprint, ...],
     ) -> None:
         for way_s in self.draw_ways():
@@ -100,7 +100,7 @@
         self,
         teller: Teller,
         hearer: Teller,
-        ends: tuple[ToldEnd, ...],
+        ends: tuple[CrashReport, ...],
         cleared: tuple[Fingerprint, ...],
         way_s: float,
     ) -> None:
@@ -111,7 +111,7 @@
         await awake(hearer)
         if hearer not in self.members():
             return
-        news = hearer.watch.take_news(teller.name, ends, cleared)
+        news = hearer.watch.apply_update(teller.name, ends, cleared)
         if news and len(self._others(hearer)) > TELL_ALL:
             # As it was told: what lay unread here is as old to who hears it next.
             self._spread(hearer, ends, cleared)
