--- a/src/coppercleat/quarantine/_end_watch.py
+++ b/src/coppercleat/quarantine/_end_watch.py
@@ -45,8 +45,8 @@
 
 UPDATE_REPEAT_S = 0.5
 UPDATE_REPEATS = 2
-"""Repetitions of an update, in case messages are lost until a stalled link is reopened.
-Instances that were unreachable for longer get the periodic message."""
+"""Interval and number of repetitions of an update, in case messages are lost until a
+stalled link is reopened. Later, the periodic message repeats them."""
 
 _MAX_LOGGED_CRASHES = 6
 """Limit of crashes in one log line; the last ones are logged."""
@@ -99,8 +99,8 @@
         """Returns whether it was steady when it crashed during an attempt.
 
         Args:
-          began: Trio time at which the attempt began.
-          at: Trio time at which the attempt was interrupted.
+          began: Trio time, in seconds, at which the attempt began.
+          at: Trio time, in seconds, at which the attempt was interrupted.
         """
         ...
 
@@ -138,8 +138,8 @@
     """An attempt that was interrupted, or abandoned by its client.
 
     Attributes:
-      began: Trio time at which it was sent to the upstream.
-      at: Trio time at which it was interrupted.
+      began: Trio time, in seconds, at which it was sent to the upstream.
+      at: Trio time, in seconds, at which it was interrupted.
       made_progress: Whether it made progress for ``PROGRESS_EVIDENCE_S``.
     """
 
@@ -158,16 +158,16 @@
     """Probing of one incarnation of an upstream, and the requests it concerns.
 
     Attributes:
-      state: The incarnation.
+      incarnation: What is probed.
       suspects: Interrupted attempt of each request that may be the cause.
       late_suspects: Requests whose attempts began after the interruption of those, and
         were interrupted as well.
       crashed: Whether a crash is taken as proved.
       proof: What proved it, for the log.
-      proved_at: Trio time of the proof.
+      proved_at: Trio time of the proof, in seconds.
     """
 
-    state: _UpstreamT
+    incarnation: _UpstreamT
     suspects: dict[Fingerprint, _InterruptedAttempt] = attrs.field(factory=dict)
     late_suspects: set[Fingerprint] = attrs.field(factory=set)
     crashed: bool = False
@@ -255,7 +255,7 @@
     def record_interruption(
         self,
         fingerprint: Fingerprint,
-        state: _UpstreamT,
+        incarnation: _UpstreamT,
         *,
         began: float | None = None,
         silent: bool = False,
@@ -267,8 +267,8 @@
 
         Args:
           fingerprint: The request.
-          state: The upstream.
-          began: Trio time at which the attempt began; None if unknown.
+          incarnation: The upstream.
+          began: Trio time, in seconds, at which the attempt began; None if unknown.
           silent: Whether the upstream fell silent, with the connection intact. Then the
             request is not held before a crash is proved.
           progress_s: Seconds from the beginning of the attempt to its last progress.
@@ -276,24 +276,26 @@
         now = trio.current_time()
         began = now if began is None else began
         attempt = _InterruptedAttempt(began, now, progress_s >= PROGRESS_EVIDENCE_S)
-        self._add_suspect(fingerprint, state, attempt, silent=silent)
+        self._add_suspect(fingerprint, incarnation, attempt, silent=silent)
 
     def _add_suspect(
         self,
         fingerprint: Fingerprint,
-        state: _UpstreamT,
+        incarnation: _UpstreamT,
         attempt: _InterruptedAttempt,
         *,
         silent: bool,
     ) -> None:
-        if state.stopping:
+        if incarnation.stopping:
             return
-        investigation = self._investigations.get(state)
+        investigation = self._investigations.get(incarnation)
         if investigation is not None and investigation.began_after_crash(attempt):
             self._add_late_suspect(investigation, fingerprint, silent=silent)
             return
         if investigation is None:
-            investigation = self._investigations[state] = _Investigation(state)
+            investigation = self._investigations[incarnation] = _Investigation(
+                incarnation
+            )
             self._new_investigations.append(investigation)
             self._wake.set()
         if fingerprint in investigation.suspects:
@@ -302,7 +304,7 @@
         if investigation.crashed:
             self._record_crash(investigation, fingerprint)
         elif not silent:
-            self.history.record_interruption(fingerprint, state.id)
+            self.history.record_interruption(fingerprint, incarnation.id)
 
     def _add_late_suspect(
         self,
@@ -311,22 +313,24 @@
         *,
         silent: bool,
     ) -> None:
-        """Holds a request until the probes are over, as it may be a cause as well."""
+        """Holds a request that was interrupted after others while probing goes on."""
         if not silent and fingerprint not in investigation.late_suspects:
             investigation.late_suspects.add(fingerprint)
-            self.history.record_interruption(fingerprint, investigation.state.id)
+            self.history.record_interruption(fingerprint, investigation.incarnation.id)
 
-    def record_abandonment(self, fingerprint: Fingerprint, state: _UpstreamT) -> None:
+    def record_abandonment(
+        self, fingerprint: Fingerprint, incarnation: _UpstreamT
+    ) -> None:
         """Records an attempt that its client abandoned before the response."""
-        self._abandoned.append((fingerprint, state, trio.current_time()))
+        self._abandoned.append((fingerprint, incarnation, trio.current_time()))
 
-    def record_connect_failure(self, state: _UpstreamT) -> None:
-        """Records a failed connection; suspects recently abandoned attempts there."""
+    def record_connect_failure(self, incarnation: _UpstreamT) -> None:
+        """Records a failed connection: attempts abandoned there become suspect."""
         for fingerprint, abandoned_at in self._abandoned_before(
-            state.id, trio.current_time()
+            incarnation.id, trio.current_time()
         ):
             self._add_suspect(
-                fingerprint, state, _abandoned_attempt(abandoned_at), silent=True
+                fingerprint, incarnation, _abandoned_attempt(abandoned_at), silent=True
             )
 
     def _abandoned_before(
@@ -335,8 +339,8 @@
         """Returns the attempts that were abandoned shortly before a crash."""
         return [
             (fingerprint, abandoned_at)
-            for fingerprint, state, abandoned_at in self._abandoned
-            if state.id == upstream
+            for fingerprint, incarnation, abandoned_at in self._abandoned
+            if incarnation.id == upstream
             and 0 <= crash_at - abandoned_at <= ABANDONED_WINDOW_S
         ]
 
@@ -402,29 +406,29 @@
     # Probing.
 
     async def _investigate(self, investigation: _Investigation[_UpstreamT]) -> None:
-        state = investigation.state
+        incarnation = investigation.incarnation
         try:
             for delay_s in PROBE_DELAYS_S:
                 await trio.sleep(delay_s)
                 if await self._probe_once(investigation):
                     return
-            if state.unlisted:
+            if incarnation.unlisted:
                 self._record_proof(
                     investigation, "it does not respond and is no longer listed"
                 )
         finally:
-            self._investigations.pop(state, None)
+            self._investigations.pop(incarnation, None)
             for fingerprint in (*investigation.suspects, *investigation.late_suspects):
-                self.history.resolve_interruption(fingerprint, state.id)
+                self.history.resolve_interruption(fingerprint, incarnation.id)
             self.history.forget_old(trio.current_time())
 
     async def _probe_once(self, investigation: _Investigation[_UpstreamT]) -> bool:
         """Probes the upstream once; returns whether the result is final."""
-        state = investigation.state
-        if state.restarted:
+        incarnation = investigation.incarnation
+        if incarnation.restarted:
             self._record_proof(investigation, "it was restarted")
             return True
-        result = await self.probe(state)
+        result = await self.probe(incarnation)
         if result in _CRASH_PROOFS:
             self._record_proof(investigation, result.value)
         elif result is ProbeResult.SAME_INCARNATION and investigation.crashed:
@@ -436,6 +440,7 @@
     def _record_proof(
         self, investigation: _Investigation[_UpstreamT], proof: str
     ) -> None:
+        """Marks the crash as proved and records it against all suspects."""
         if investigation.crashed:
             return
         investigation.crashed = True
@@ -443,19 +448,21 @@
         investigation.proved_at = trio.current_time()
         first_at = min(attempt.at for attempt in investigation.suspects.values())
         for fingerprint, abandoned_at in self._abandoned_before(
-            investigation.state.id, first_at
+            investigation.incarnation.id, first_at
         ):
             investigation.suspects.setdefault(
                 fingerprint, _abandoned_attempt(abandoned_at)
             )
         _log.warning(
             "An upstream crashed while processing requests.",
-            upstream=investigation.state.id,
+            upstream=investigation.incarnation.id,
             proof=proof,
             requests=len(investigation.suspects),
         )
         first_began = min(attempt.began for attempt in investigation.suspects.values())
-        crash = Crash(investigation.state.id, first_at, investigation.state.born_ms)
+        crash = Crash(
+            investigation.incarnation.id, first_at, investigation.incarnation.born_ms
+        )
         self.on_crash(crash, first_began)
         for fingerprint in investigation.suspects:
             self._record_crash(investigation, fingerprint)
@@ -463,26 +470,33 @@
     def _record_crash(
         self, investigation: _Investigation[_UpstreamT], fingerprint: Fingerprint
     ) -> None:
-        self.history.resolve_interruption(fingerprint, investigation.state.id)
-        crash = self._crash_under(investigation, fingerprint)
+        self.history.resolve_interruption(fingerprint, investigation.incarnation.id)
+        crash = self._crash_evidence(investigation, fingerprint)
         if self.history.record_crash(fingerprint, crash):
             self._log_if_quarantined(fingerprint, sender="")
         self._unsent_reports.append((fingerprint, crash, False))
         self._wake.set()
 
-    def _crash_under(
+    def _crash_evidence(
         self, investigation: _Investigation[_UpstreamT], fingerprint: Fingerprint
     ) -> Crash:
         """Returns the crash as evidence against one of the suspects."""
-        state, attempt = investigation.state, investigation.suspects[fingerprint]
-        steady = state.was_steady(began=attempt.began, at=attempt.at)
+        incarnation, attempt = (
+            investigation.incarnation,
+            investigation.suspects[fingerprint],
+        )
+        steady = incarnation.was_steady(began=attempt.began, at=attempt.at)
         weak = (
             attempt.made_progress
             or not steady
             or investigation.is_weak_evidence(attempt)
         )
         crash = Crash(
-            state.id, attempt.at, state.born_ms, weak=weak, source=investigation.proof
+            incarnation.id,
+            attempt.at,
+            incarnation.born_ms,
+            weak=weak,
+            source=investigation.proof,
         )
         return self.history.identify_crash(
             fingerprint, crash, attempt_began=attempt.began
@@ -491,10 +505,11 @@
     def _retract(self, investigation: _Investigation[_UpstreamT]) -> None:
         """Retracts the crash: the upstream had only refused connections briefly."""
         _log.warning(
-            "An upstream crash was a false positive.", upstream=investigation.state.id
+            "An upstream crash was a false positive.",
+            upstream=investigation.incarnation.id,
         )
         for fingerprint in investigation.suspects:
-            crash = self._crash_under(investigation, fingerprint)
+            crash = self._crash_evidence(investigation, fingerprint)
             self.history.retract(fingerprint, crash)
             self.on_crash_retracted(crash)
             self._unsent_reports.append((fingerprint, crash, True))
@@ -546,7 +561,7 @@
                 # The sender missed that the request was cleared.
                 self._resend_clear(report.fingerprint)
             else:
-                self._record_abandoned_crashes(crash)
+                self._record_against_abandoned(crash)
         for fingerprint in self.history.quarantined(now=now).keys() - before.keys():
             self._log_if_quarantined(fingerprint, sender=sender)
         return changed
@@ -556,7 +571,7 @@
             self._unsent_clears.append(fingerprint)
             self._wake.set()
 
-    def _record_abandoned_crashes(self, crash: Crash) -> None:
+    def _record_against_abandoned(self, crash: Crash) -> None:
         """Records a reported crash against attempts abandoned there shortly before."""
         unnumbered = attrs.evolve(crash, number=0)
         for fingerprint, abandoned_at in self._abandoned_before(
