--- a/src/coppercleat/quarantine/_end_keeper.py
+++ b/src/coppercleat/quarantine/_end_keeper.py
@@ -1,9 +1,9 @@
-"""Keeps verdicts on requests in rows that instances write and read anyway.
+"""Stores quarantined requests in the instance rows on the platform.
 
-So an instance that can reach the platform alone learns of them, and one that starts,
-also after all have ended at once. A row tells only of requests that are quarantined:
-its times are by the clock of the machine that wrote it, and an end that two clocks
-place differently would count twice.
+Instances write and read these rows anyway, so the quarantine survives a restart of the
+whole fleet and reaches instances without links to their peers. Requests that are only
+suspect are left out: rows hold wall-clock times, and a crash that two machines date
+differently would count twice.
 """
 
 from __future__ import annotations
@@ -15,99 +15,109 @@
 import trio
 
 from coppercleat.ids import UpstreamId
-from coppercleat.quarantine._ends import End
+from coppercleat.quarantine._ends import Crash
 from coppercleat.quarantine._fingerprint import Fingerprint
-from coppercleat.quarantine._ledger import EndLedger
+from coppercleat.quarantine._ledger import CrashHistory
 
-MOST_KEPT = 8
-"""Requests in one row, those with the most ends: 2 kB with six ends each."""
+MAX_RECORDS = 8
+"""Requests in one row, those with the most crashes; bounds the size of the row."""
 
 
-class KeptEnds(msgspec.Struct, frozen=True, array_like=True):
-    """A quarantined request.
+class QuarantineRecord(msgspec.Struct, frozen=True, array_like=True):
+    """A quarantined request in an instance row.
+
+    The last three tuples have one entry for each crash, or none in rows of instances of
+    earlier versions.
 
     Attributes:
-      ends: Which upstream ended when, in Unix seconds.
-      births: For each end, see ``End.born_ms``; fewer where an instance of an
-        earlier version wrote the row.
-      numbers: The same, see ``End.number``.
-      weak: The same, see ``End.weak``; who does not tell may have counted too much.
+      fingerprint: The request.
+      crashes: Upstream and Unix time in seconds of each crash.
+      born_ms: See ``End.born_ms``.
+      numbers: See ``End.number``.
+      weak: See ``End.weak``; taken as true if absent.
     """
 
     fingerprint: Fingerprint
-    ends: tuple[tuple[UpstreamId, float], ...]
-    births: tuple[int, ...] = ()
+    crashes: tuple[tuple[UpstreamId, float], ...]
+    born_ms: tuple[int, ...] = ()
     numbers: tuple[int, ...] = ()
     weak: tuple[bool, ...] = ()
 
-    def by_clock(self, *, wall_at_zero: float, now: float) -> list[End]:
-        """Returns the ends by a clock that showed 0 at that Unix time."""
-        births = itertools.chain(self.births, itertools.repeat(0))
+    def to_crashes(self, *, wall_at_zero: float, now: float) -> list[Crash]:
+        """Returns the crashes, with their times on the local clock.
+
+        Args:
+          wall_at_zero: Unix time at which the local clock showed 0.
+          now: Seconds on the local clock.
+        """
+        start_times = itertools.chain(self.born_ms, itertools.repeat(0))
         numbers = itertools.chain(self.numbers, itertools.repeat(0))
         weak = itertools.chain(self.weak, itertools.repeat(True))
-        # A clock that is ahead must not make an end of the future.
+        # The writer's clock may be ahead; a crash is never in the future.
         return [
-            End(
+            Crash(
                 upstream,
                 min(now, wall - wall_at_zero),
                 born_ms,
                 number,
                 is_weak,
-                source="a row",
+                source="an instance row",
             )
             for (upstream, wall), born_ms, number, is_weak in zip(
-                self.ends, births, numbers, weak, strict=False
+                self.crashes, start_times, numbers, weak, strict=False
             )
         ]
 
 
-class EndKeeper:
-    """Translates between a ledger and rows."""
+class QuarantineStore:
+    """Converts between the crash history and the records in instance rows."""
 
     def __init__(
         self,
-        ledger: EndLedger,
+        history: CrashHistory,
         *,
         clock: Callable[[], float],
-        keeps: Callable[[Fingerprint], bool],
+        should_store: Callable[[Fingerprint], bool],
     ) -> None:
-        """Prepares the keeper.
+        """Initialises the store.
 
         Args:
-          ledger: What this instance knows.
-          clock: Unix time in seconds.
-          keeps: Returns whether it falls to this instance to keep a request: a few do,
-            so that the rows of a large fleet stay small.
+          history: The crash history of this instance.
+          clock: Returns the Unix time in seconds.
+          should_store: Returns whether this instance stores a request. A few instances
+            store each, so that rows stay small in a large fleet.
         """
-        self.ledger = ledger
+        self.history = history
         self.clock = clock
-        self.keeps = keeps
+        self.should_store = should_store
 
-    def to_keep(self) -> tuple[KeptEnds, ...]:
-        """Returns what this instance's row should tell."""
+    def export_records(self) -> tuple[QuarantineRecord, ...]:
+        """Returns the records for this instance's row."""
         now = trio.current_time()
-        counts = self.ledger.quarantined(now=now)
-        mine = [fingerprint for fingerprint in counts if self.keeps(fingerprint)]
-        mine.sort(key=lambda fingerprint: -counts[fingerprint])
+        counts = self.history.quarantined(now=now)
+        stored = [
+            fingerprint for fingerprint in counts if self.should_store(fingerprint)
+        ]
+        stored.sort(key=lambda fingerprint: -counts[fingerprint])
         wall_at_zero = self.clock() - now
         return tuple(
-            KeptEnds(
+            QuarantineRecord(
                 fingerprint,
-                tuple((end.upstream, wall_at_zero + end.at) for end in ends),
-                tuple(end.born_ms for end in ends),
-                tuple(end.number for end in ends),
-                tuple(end.weak for end in ends),
+                tuple((crash.upstream, wall_at_zero + crash.at) for crash in crashes),
+                tuple(crash.born_ms for crash in crashes),
+                tuple(crash.number for crash in crashes),
+                tuple(crash.weak for crash in crashes),
             )
-            for fingerprint in mine[:MOST_KEPT]
-            for ends in [self.ledger.ends_of(fingerprint)]
+            for fingerprint in stored[:MAX_RECORDS]
+            for crashes in [self.history.crashes_of(fingerprint)]
         )
 
-    def take_kept(self, kept: Iterable[KeptEnds]) -> None:
-        """Takes what a row tells, of requests that are not quarantined here."""
+    def import_records(self, records: Iterable[QuarantineRecord]) -> None:
+        """Adds the records of a row, except for requests that are quarantined here."""
         now = trio.current_time()
         wall_at_zero = self.clock() - now
-        for request in kept:
-            if self.ledger.is_quarantined(request.fingerprint):
+        for record in records:
+            if self.history.is_quarantined(record.fingerprint):
                 continue
-            ends = request.by_clock(wall_at_zero=wall_at_zero, now=now)
-            self.ledger.adopt(request.fingerprint, ends)
+            crashes = record.to_crashes(wall_at_zero=wall_at_zero, now=now)
+            self.history.adopt(record.fingerprint, crashes)
--- a/src/coppercleat/quarantine/_end_watch.py
+++ b/src/coppercleat/quarantine/_end_watch.py
@@ -1,8 +1,8 @@
-"""Finds out whether an upstream ended under the requests whose runs broke off there.
+"""Detects upstream crashes and decides whether the requests involved may run again.
 
-A broken connection alone proves nothing: links are cut, answers garbled, upstreams
-stopped as planned. The upstream is asked: if its host says that nothing listens, or it
-tells of another start, it has ended; if it tells of the same start, it lives.
+A broken connection alone proves no crash: it may be due to the network, a malformed
+response or a planned stop. So the upstream is probed. It crashed if its host refuses
+the connection or it reports another start time; it did not if it reports the same one.
 """
 
 from __future__ import annotations
@@ -17,528 +17,605 @@
 
 from coppercleat.ids import UpstreamId
 from coppercleat.observability import part_logger
-from coppercleat.quarantine._ends import SAME_END_S, End, ToldEnd
-from coppercleat.quarantine._fingerprint import Fingerprint, shown
+from coppercleat.quarantine._ends import SAME_CRASH_WINDOW_S, Crash, CrashReport
+from coppercleat.quarantine._fingerprint import Fingerprint, format_fingerprint
 from coppercleat.quarantine._ledger import (
     FREE,
     HELD_RETRY_S,
-    ITEM_PAUSES_S,
-    PAUSES_S,
-    EndLedger,
-    Standing,
+    ITEM_QUARANTINE_PERIODS_S,
+    QUARANTINE_PERIODS_S,
+    CrashHistory,
     Verdict,
+    VerdictKind,
 )
 
-LOOK_PAUSES_S = (0.0, 0.05, 0.1, 0.2, 0.4, 0.8, 1.0, 1.0, 1.0)
-"""Pauses before each question. The first finds most; the later ones tell a link that
-refuses for a moment from an upstream that has ended. A question takes 2 ms of network
-and 1 ms of processor time, and comes with a broken connection only."""
+PROBE_DELAYS_S = (0.0, 0.05, 0.1, 0.2, 0.4, 0.8, 1.0, 1.0, 1.0)
+"""Delay before each probe. The later ones tell a crash from a brief refusal."""
 
-MOVED_ON_S = 0.3
-"""A run that made something for so long speaks for the request: most that end their
-upstreams do so at once."""
+PROGRESS_EVIDENCE_S = 0.3
+"""A crash is weak evidence if the attempt made progress for this long, since a request
+that crashes its upstream mostly does so at once."""
 
-AT_ONCE_S = 0.05
-"""A run that broke off so soon was hardly begun by its upstream."""
+IMMEDIATE_S = 0.05
+"""The upstream has hardly begun to process an attempt that is interrupted this soon."""
 
-LEFT_S = 1.0
-"""A run that its client left is as suspect if its upstream ends within this time: most
-upstreams end such a run at once, and what it had begun may end them all the same."""
+ABANDONED_WINDOW_S = 1.0
+"""An abandoned attempt is suspect if its upstream crashes within this time, since the
+upstream may not have stopped processing it at once."""
 
-REPEAT_S = 0.5
-REPEATS = 2
-"""Ends are told again so often, since a link may be silent; a silent one is opened anew
-within a second. Who could not be reached for longer gets all when it is heard again."""
+UPDATE_REPEAT_S = 0.5
+UPDATE_REPEATS = 2
+"""Interval and number of repetitions of an update, in case messages are lost until a
+stalled link is reopened. Later, the periodic message repeats them."""
 
-_MOST_LOGGED = 6
-"""Ends that one line tells, the last ones."""
+_MAX_LOGGED_CRASHES = 6
+"""Limit of crashes in one log line; the last ones are logged."""
 
-_MOST_LEFT = 256
-"""Runs that were left and are remembered for a second."""
+_MAX_ABANDONED = 256
+"""Limit of abandoned attempts that are remembered."""
 
 _log = part_logger("quarantine")
 
 
-class Finding(enum.Enum):
-    """What a question to an upstream has shown."""
+class ProbeResult(enum.Enum):
+    """Result of probing an upstream."""
 
     NOTHING_LISTENS = "nothing listens at its address"
-    OTHER_LIFE = "it tells of another start"
-    SAME_LIFE = "it tells of the same start"
+    OTHER_INCARNATION = "it tells of another start"
+    SAME_INCARNATION = "it tells of the same start"
     SOMETHING_LISTENS = "something answers at its address"
     NO_ANSWER = "it does not answer"
 
 
-class Watched(Protocol):
-    """One life of an upstream."""
+class UpstreamIncarnation(Protocol):
+    """One incarnation of an upstream: the time from one start to the next."""
 
     @property
     def id(self) -> UpstreamId:
-        """Its id."""
+        """Id of the upstream."""
         ...
 
     @property
     def born_ms(self) -> int:
-        """Tells this life from others of the same id; 0 if unknown."""
+        """Start time, which tells it from other incarnations; 0 if unknown."""
         ...
 
     @property
     def unlisted(self) -> bool:
-        """Whether it is no longer listed, and has not said that it leaves."""
+        """Whether it is no longer listed and did not announce that it would stop."""
         ...
 
     @property
     def stopping(self) -> bool:
-        """Whether it leaves, or has left, as planned."""
+        """Whether it is stopping or has stopped as planned."""
         ...
 
     @property
     def restarted(self) -> bool:
-        """Whether it is known to have started again, which is another life."""
+        """Whether a later incarnation is known."""
         ...
 
     def was_steady(self, *, began: float, at: float) -> bool:
-        """Returns whether it had lived for a while when it ended under a run.
+        """Returns whether it was steady when it crashed during an attempt.
 
         Args:
-          began: When the run began, in trio's time.
-          at: When it broke off.
+          began: Trio time, in seconds, at which the attempt began.
+          at: Trio time, in seconds, at which the attempt was interrupted.
         """
         ...
 
 
-class Asking(Protocol):
-    """A request that wants to be sent to an upstream."""
+class FingerprintedRequest(Protocol):
+    """A request that is to be sent to an upstream."""
 
     @property
     def request_id(self) -> str:
-        """Its id, for the log."""
+        """Id of the request, for the log."""
         ...
 
     @property
     def fingerprint(self) -> Fingerprint:
-        """What it asks."""
+        """Fingerprint of its content."""
         ...
 
 
-_W = TypeVar("_W", bound=Watched)
+_UpstreamT = TypeVar("_UpstreamT", bound=UpstreamIncarnation)
 
-_PROOFS = frozenset({Finding.NOTHING_LISTENS, Finding.OTHER_LIFE})
-_FINAL = frozenset({Finding.OTHER_LIFE, Finding.SAME_LIFE, Finding.SOMETHING_LISTENS})
-"""Nothing listens also where a link refuses for a moment: it is asked again."""
+_CRASH_PROOFS = frozenset({ProbeResult.NOTHING_LISTENS, ProbeResult.OTHER_INCARNATION})
+_FINAL_RESULTS = frozenset(
+    {
+        ProbeResult.OTHER_INCARNATION,
+        ProbeResult.SAME_INCARNATION,
+        ProbeResult.SOMETHING_LISTENS,
+    }
+)
+"""Results after which probing stops. A refused connection is not among them, since the
+refusal may be brief."""
 
 
 @attrs.frozen
-class _BrokenRun:
-    """A run that broke off, or was left.
+class _InterruptedAttempt:
+    """An attempt that was interrupted, or abandoned by its client.
 
     Attributes:
-      began: When it was sent to the upstream.
-      at: When it broke off.
-      moved_on: Whether it made something for a while.
+      began: Trio time, in seconds, at which it was sent to the upstream.
+      at: Trio time, in seconds, at which it was interrupted.
+      made_progress: Whether it made progress for ``PROGRESS_EVIDENCE_S``.
     """
 
     began: float
     at: float
-    moved_on: bool = False
+    made_progress: bool = False
 
     @property
-    def at_once(self) -> bool:
-        """Whether it was hardly begun by its upstream."""
-        return self.at - self.began < AT_ONCE_S
+    def is_immediate(self) -> bool:
+        """Whether it was interrupted before the upstream had done much for it."""
+        return self.at - self.began < IMMEDIATE_S
 
 
 @attrs.define(eq=False)
-class _Inquiry(Generic[_W]):
-    """What is asked of one life of an upstream.
+class _Investigation(Generic[_UpstreamT]):
+    """Probing of one incarnation of an upstream, and the requests it concerns.
 
     Attributes:
-      suspects: Whose run broke off there.
-      later: Whose run began after those had broken off, and broke off, too.
-      found_ended: Whether it is taken to have ended.
-      proof: What has shown that.
-      proved_at: When that was, in trio's time.
+      incarnation: What is probed.
+      suspects: Interrupted attempt of each request that may be the cause.
+      late_suspects: Requests whose attempts began after the interruption of those, and
+        were interrupted as well.
+      crashed: Whether a crash is taken as proved.
+      proof: What proved it, for the log.
+      proved_at: Trio time of the proof, in seconds.
     """
 
-    state: _W
-    suspects: dict[Fingerprint, _BrokenRun] = attrs.field(factory=dict)
-    later: set[Fingerprint] = attrs.field(factory=set)
-    found_ended: bool = False
+    incarnation: _UpstreamT
+    suspects: dict[Fingerprint, _InterruptedAttempt] = attrs.field(factory=dict)
+    late_suspects: set[Fingerprint] = attrs.field(factory=set)
+    crashed: bool = False
     proof: str = ""
     proved_at: float = 0.0
 
-    def broke_before(self, run: _BrokenRun) -> bool:
-        """Returns whether a run began after others had broken off, and ended at once.
+    def began_after_crash(self, attempt: _InterruptedAttempt) -> bool:
+        """Returns whether an attempt began after the crash and failed immediately.
 
-        Whatever ended the upstream began before. One that lasted may have met its next
-        life, and all may once it is known to have ended.
+        Such an attempt is not the cause. One that lasted longer may have crashed the
+        next incarnation, and so may any once the crash is proved.
         """
-        if self.found_ended or not self.suspects or not run.at_once:
+        if self.crashed or not self.suspects or not attempt.is_immediate:
             return False
-        return run.began > min(other.at for other in self.suspects.values())
+        return attempt.began > min(other.at for other in self.suspects.values())
 
-    def tells_little(self, run: _BrokenRun) -> bool:
-        """Returns whether a run may have met nothing but what stands before it.
+    def is_weak_evidence(self, attempt: _InterruptedAttempt) -> bool:
+        """Returns whether an attempt may have reached only a proxy of the upstream.
 
-        Something that takes connections for an upstream and closes them, since there is
-        none, does so in milliseconds, and hides its end until it is back.
+        A proxy in front of a crashed upstream accepts connections and closes them in
+        milliseconds, which hides the crash until the upstream is back.
         """
-        late = self.proved_at - run.at >= SAME_END_S
-        return late and run.at_once
+        late = self.proved_at - attempt.at >= SAME_CRASH_WINDOW_S
+        return late and attempt.is_immediate
 
 
-class EndWatch(Generic[_W]):
-    """Keeps the ledger of ends up to date, and tells others of what is found.
+class CrashDetector(Generic[_UpstreamT]):
+    """Records crashes found by probes or reported by other instances; gives verdicts.
 
     Attributes:
-      ledger: Ends by request.
-      on_news: Told of ends, and of requests that were cleared, for other instances.
-      may_try: Returns whether this instance is the one to let a trial through, given
-        for how many seconds it has been due.
-      on_barred: Told the standing of each request that was not let through.
-      on_ended: Told of each end of an upstream that is found or heard of, and when the
-        run began that met it, as far as is known.
-      on_withdrawn: Told of each that is taken back.
+      probe: Probes an upstream once.
+      history: The crash history.
+      on_update: Called with crash reports and cleared requests for other instances.
+      may_run_trial: Returns whether this instance may run a trial of a request, given
+        the seconds since it became due.
+      on_blocked: Called with the kind of the verdict on each request that was blocked.
+      on_crash: Called with each new crash and the time at which the interrupted attempt
+        began, or that of the crash if it is unknown.
+      on_crash_retracted: Called with each crash that was a false positive.
     """
 
-    def __init__(self, ask: Callable[[_W], Awaitable[Finding]]) -> None:
-        """Prepares the watch.
+    def __init__(self, probe: Callable[[_UpstreamT], Awaitable[ProbeResult]]) -> None:
+        """Initialises the detector.
 
         Args:
-          ask: Puts one question to an upstream.
+          probe: Probes an upstream once.
         """
-        self.ask = ask
-        self.ledger = EndLedger()
-        self.on_news: Callable[[tuple[ToldEnd, ...], tuple[Fingerprint, ...]], None] = (
-            lambda ends, cleared: None
-        )
-        self.may_try: Callable[[Fingerprint, float], bool] = (
+        self.probe = probe
+        self.history = CrashHistory()
+        self.on_update: Callable[
+            [tuple[CrashReport, ...], tuple[Fingerprint, ...]], None
+        ] = lambda reports, cleared: None
+        self.may_run_trial: Callable[[Fingerprint, float], bool] = (
             lambda fingerprint, overdue_s: True
         )
-        self.on_barred: Callable[[str], None] = lambda standing: None
-        self.on_ended: Callable[[End, float], None] = lambda end, run_began: None
-        self.on_withdrawn: Callable[[End], None] = lambda end: None
-        self._inquiries: dict[_W, _Inquiry[_W]] = {}
-        self._opened: list[_Inquiry[_W]] = []
-        self._untold: list[tuple[Fingerprint, End, bool]] = []
-        self._cleared: list[Fingerprint] = []
-        self._left: collections.deque[tuple[Fingerprint, _W, float]] = (
-            collections.deque(maxlen=_MOST_LEFT)
+        self.on_blocked: Callable[[str], None] = lambda kind: None
+        self.on_crash: Callable[[Crash, float], None] = lambda crash, attempt_began: (
+            None
+        )
+        self.on_crash_retracted: Callable[[Crash], None] = lambda crash: None
+        self._investigations: dict[_UpstreamT, _Investigation[_UpstreamT]] = {}
+        self._new_investigations: list[_Investigation[_UpstreamT]] = []
+        self._unsent_reports: list[tuple[Fingerprint, Crash, bool]] = []
+        self._unsent_clears: list[Fingerprint] = []
+        self._abandoned: collections.deque[tuple[Fingerprint, _UpstreamT, float]] = (
+            collections.deque(maxlen=_MAX_ABANDONED)
         )
         self._wake = trio.Event()
 
     async def run(self) -> None:
-        """Asks and tells until cancelled."""
+        """Probes upstreams and sends updates until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 await self._wake.wait()
                 self._wake = trio.Event()
-                while self._opened:
-                    nursery.start_soon(self._inquire, self._opened.pop())
-                if self._untold or self._cleared:
-                    nursery.start_soon(self._tell)
+                while self._new_investigations:
+                    nursery.start_soon(
+                        self._investigate, self._new_investigations.pop()
+                    )
+                if self._unsent_reports or self._unsent_clears:
+                    nursery.start_soon(self._send_update)
 
-    # What the serving path tells.
+    # Outcomes of attempts, and verdicts.
 
-    def broke_off(
+    def record_interruption(
         self,
         fingerprint: Fingerprint,
-        state: _W,
+        incarnation: _UpstreamT,
         *,
         began: float | None = None,
         silent: bool = False,
-        moved_on_s: float = 0.0,
+        progress_s: float = 0.0,
     ) -> None:
-        """Notes a run that broke off, or fell silent, at an upstream.
+        """Records an attempt that was interrupted, and probes its upstream.
 
-        One that was leaving ends as planned. Silence is less than a broken connection:
-        it holds no request up before the end is proved.
+        Upstreams that are stopping as planned are ignored.
 
         Args:
           fingerprint: The request.
-          state: The upstream.
-          began: When the run began, in trio's time; None if unknown.
-          silent: Whether it fell silent.
-          moved_on_s: From its beginning to the last that it made, in seconds.
+          incarnation: The upstream.
+          began: Trio time, in seconds, at which the attempt began; None if unknown.
+          silent: Whether the upstream fell silent, with the connection intact. Then the
+            request is not held before a crash is proved.
+          progress_s: Seconds from the beginning of the attempt to its last progress.
         """
         now = trio.current_time()
         began = now if began is None else began
-        run = _BrokenRun(began, now, moved_on_s >= MOVED_ON_S)
-        self._suspect(fingerprint, state, run, silent=silent)
+        attempt = _InterruptedAttempt(began, now, progress_s >= PROGRESS_EVIDENCE_S)
+        self._add_suspect(fingerprint, incarnation, attempt, silent=silent)
 
-    def _suspect(
-        self, fingerprint: Fingerprint, state: _W, run: _BrokenRun, *, silent: bool
+    def _add_suspect(
+        self,
+        fingerprint: Fingerprint,
+        incarnation: _UpstreamT,
+        attempt: _InterruptedAttempt,
+        *,
+        silent: bool,
     ) -> None:
-        if state.stopping:
+        if incarnation.stopping:
             return
-        inquiry = self._inquiries.get(state)
-        if inquiry is not None and inquiry.broke_before(run):
-            self._hold_later(inquiry, fingerprint, silent=silent)
+        investigation = self._investigations.get(incarnation)
+        if investigation is not None and investigation.began_after_crash(attempt):
+            self._add_late_suspect(investigation, fingerprint, silent=silent)
             return
-        if inquiry is None:
-            inquiry = self._inquiries[state] = _Inquiry(state)
-            self._opened.append(inquiry)
+        if investigation is None:
+            investigation = self._investigations[incarnation] = _Investigation(
+                incarnation
+            )
+            self._new_investigations.append(investigation)
             self._wake.set()
-        if fingerprint in inquiry.suspects:
+        if fingerprint in investigation.suspects:
             return
-        inquiry.suspects[fingerprint] = run
-        if inquiry.found_ended:
-            self._note_end(inquiry, fingerprint)
+        investigation.suspects[fingerprint] = attempt
+        if investigation.crashed:
+            self._record_crash(investigation, fingerprint)
         elif not silent:
-            self.ledger.broke_off(fingerprint, state.id)
+            self.history.record_interruption(fingerprint, incarnation.id)
+
+    def _add_late_suspect(
+        self,
+        investigation: _Investigation[_UpstreamT],
+        fingerprint: Fingerprint,
+        *,
+        silent: bool,
+    ) -> None:
+        """Holds a request that was interrupted after others while probing goes on."""
+        if not silent and fingerprint not in investigation.late_suspects:
+            investigation.late_suspects.add(fingerprint)
+            self.history.record_interruption(fingerprint, investigation.incarnation.id)
 
-    def _hold_later(
-        self, inquiry: _Inquiry[_W], fingerprint: Fingerprint, *, silent: bool
+    def record_abandonment(
+        self, fingerprint: Fingerprint, incarnation: _UpstreamT
     ) -> None:
-        """Holds a request up that broke off after others: it may be one more cause."""
-        if not silent and fingerprint not in inquiry.later:
-            inquiry.later.add(fingerprint)
-            self.ledger.broke_off(fingerprint, inquiry.state.id)
-
-    def left(self, fingerprint: Fingerprint, state: _W) -> None:
-        """Notes a run that was left before its upstream had answered it."""
-        self._left.append((fingerprint, state, trio.current_time()))
-
-    def unreachable(self, state: _W) -> None:
-        """Notes that no connection to an upstream could be made."""
-        for fingerprint, left_at in self._left_at(state.id, trio.current_time()):
-            self._suspect(fingerprint, state, _left_run(left_at), silent=True)
-
-    def _left_at(
-        self, upstream: UpstreamId, end_at: float
+        """Records an attempt that its client abandoned before the response."""
+        self._abandoned.append((fingerprint, incarnation, trio.current_time()))
+
+    def record_connect_failure(self, incarnation: _UpstreamT) -> None:
+        """Records a failed connection: attempts abandoned there become suspect."""
+        for fingerprint, abandoned_at in self._abandoned_before(
+            incarnation.id, trio.current_time()
+        ):
+            self._add_suspect(
+                fingerprint, incarnation, _abandoned_attempt(abandoned_at), silent=True
+            )
+
+    def _abandoned_before(
+        self, upstream: UpstreamId, crash_at: float
     ) -> list[tuple[Fingerprint, float]]:
-        """Returns the runs that were left at an upstream shortly before its end."""
+        """Returns the attempts that were abandoned shortly before a crash."""
         return [
-            (fingerprint, left_at)
-            for fingerprint, state, left_at in self._left
-            if state.id == upstream and 0 <= end_at - left_at <= LEFT_S
+            (fingerprint, abandoned_at)
+            for fingerprint, incarnation, abandoned_at in self._abandoned
+            if incarnation.id == upstream
+            and 0 <= crash_at - abandoned_at <= ABANDONED_WINDOW_S
         ]
 
-    def note_answer(self, request: Asking) -> None:
-        """Does what ``answered`` does, if anything is held against any request."""
-        if len(self.ledger):
-            self.answered(request.fingerprint)
-
-    def answered(self, fingerprint: Fingerprint) -> bool:
-        """Notes a run that its upstream has answered: it did not end under it.
-
-        Returns:
-          Whether anything was held against the request.
-        """
-        held = self.ledger.clear(fingerprint, now=trio.current_time())
-        if held:
-            _log.info("A request was cleared.", fingerprint=shown(fingerprint))
-            self._cleared.append(fingerprint)
+    def record_response(self, request: FingerprintedRequest) -> None:
+        """Clears a request that was answered, if there is any evidence at all."""
+        if len(self.history):
+            self.clear(request.fingerprint)
+
+    def clear(self, fingerprint: Fingerprint) -> bool:
+        """Clears a request; returns whether there was any evidence against it."""
+        had_evidence = self.history.clear(fingerprint, now=trio.current_time())
+        if had_evidence:
+            _log.info(
+                "A request was cleared.", fingerprint=format_fingerprint(fingerprint)
+            )
+            self._unsent_clears.append(fingerprint)
             self._wake.set()
-        return held
+        return had_evidence
 
-    def verdict(self, request: Asking, *, item: bool = False) -> Verdict:
+    def verdict(self, request: FingerprintedRequest, *, item: bool = False) -> Verdict:
         """Returns whether a request may be sent to an upstream now.
 
         Args:
           request: The request.
-          item: Whether it is one of a job, which one instance alone runs.
+          item: Whether it is an item of a batch job, which runs on one instance only.
         """
-        if not len(self.ledger):
+        if not len(self.history):
             return FREE
         fingerprint = request.fingerprint
-        verdict = self.ledger.verdict(
+        verdict = self.history.verdict(
             fingerprint,
             now=trio.current_time(),
-            pauses_s=ITEM_PAUSES_S if item else PAUSES_S,
+            periods_s=ITEM_QUARANTINE_PERIODS_S if item else QUARANTINE_PERIODS_S,
         )
-        if verdict.standing is Standing.QUARANTINED and not verdict.retry_after_s:
-            if item or self.may_try(fingerprint, verdict.overdue_s):
-                return attrs.evolve(verdict, standing=Standing.TRIAL)
-            return Verdict(Standing.QUARANTINED, HELD_RETRY_S, verdict.ends)
+        if verdict.kind is VerdictKind.QUARANTINED and not verdict.retry_after_s:
+            if item or self.may_run_trial(fingerprint, verdict.overdue_s):
+                return attrs.evolve(verdict, kind=VerdictKind.TRIAL)
+            return Verdict(VerdictKind.QUARANTINED, HELD_RETRY_S, verdict.crashes)
         return verdict
 
-    def admit(self, request: Asking) -> Verdict:
-        """Does the same for one that is sent at once if it may be; counts a trial."""
+    def admit(self, request: FingerprintedRequest) -> Verdict:
+        """Returns the verdict on a request, and begins a trial if that is due."""
         verdict = self.verdict(request)
-        if verdict.standing is Standing.TRIAL:
+        if verdict.kind is VerdictKind.TRIAL:
             self.begin_trial(request)
         return verdict
 
-    def begin_trial(self, request: Asking) -> None:
-        """Notes that a request whose pause is over is sent to an upstream."""
-        self.ledger.begin_trial(request.fingerprint, now=trio.current_time())
+    def begin_trial(self, request: FingerprintedRequest) -> None:
+        """Records that a trial of a quarantined request is sent to an upstream."""
+        self.history.begin_trial(request.fingerprint, now=trio.current_time())
         _log.warning(
-            "A trial of a quarantined request.",
+            "Running a trial of a quarantined request.",
             request=request.request_id,
-            fingerprint=shown(request.fingerprint),
-            ends=len(self.ledger.ends_of(request.fingerprint)),
+            fingerprint=format_fingerprint(request.fingerprint),
+            ends=len(self.history.crashes_of(request.fingerprint)),
         )
 
-    def not_run(self, request: Asking) -> None:
-        """Notes that a request was sent and not run, so that it had no trial."""
-        if len(self.ledger):
-            self.ledger.give_back_trial(request.fingerprint)
+    def cancel_trial(self, request: FingerprintedRequest) -> None:
+        """Records that an upstream did not process a request: there was no trial."""
+        if len(self.history):
+            self.history.cancel_trial(request.fingerprint)
 
-    # Asking.
+    # Probing.
 
-    async def _inquire(self, inquiry: _Inquiry[_W]) -> None:
-        state = inquiry.state
+    async def _investigate(self, investigation: _Investigation[_UpstreamT]) -> None:
+        incarnation = investigation.incarnation
         try:
-            for pause_s in LOOK_PAUSES_S:
-                await trio.sleep(pause_s)
-                if await self._settled(inquiry):
+            for delay_s in PROBE_DELAYS_S:
+                await trio.sleep(delay_s)
+                if await self._probe_once(investigation):
                     return
-            if state.unlisted:
-                self._found_ended(inquiry, "it answers nothing and is unlisted")
+            if incarnation.unlisted:
+                self._record_proof(
+                    investigation, "it does not respond and is no longer listed"
+                )
         finally:
-            self._inquiries.pop(state, None)
-            for fingerprint in (*inquiry.suspects, *inquiry.later):
-                self.ledger.settled(fingerprint, state.id)
-            self.ledger.forget_old(trio.current_time())
-
-    async def _settled(self, inquiry: _Inquiry[_W]) -> bool:
-        """Looks once; returns whether nothing more can be learnt."""
-        state = inquiry.state
-        if state.restarted:
-            self._found_ended(inquiry, "it has started again")
+            self._investigations.pop(incarnation, None)
+            for fingerprint in (*investigation.suspects, *investigation.late_suspects):
+                self.history.resolve_interruption(fingerprint, incarnation.id)
+            self.history.forget_old(trio.current_time())
+
+    async def _probe_once(self, investigation: _Investigation[_UpstreamT]) -> bool:
+        """Probes the upstream once; returns whether the result is final."""
+        incarnation = investigation.incarnation
+        if incarnation.restarted:
+            self._record_proof(investigation, "it was restarted")
             return True
-        finding = await self.ask(state)
-        if finding in _PROOFS:
-            self._found_ended(inquiry, finding.value)
-        elif finding is Finding.SAME_LIFE and inquiry.found_ended:
-            # Whatever else answers there now may be what has come after it.
-            self._withdraw(inquiry)
-        return finding in _FINAL
-
-    def _found_ended(self, inquiry: _Inquiry[_W], proof: str) -> None:
-        if inquiry.found_ended:
+        result = await self.probe(incarnation)
+        if result in _CRASH_PROOFS:
+            self._record_proof(investigation, result.value)
+        elif result is ProbeResult.SAME_INCARNATION and investigation.crashed:
+            # Only the same start time disproves a crash: another process may have the
+            # address by now.
+            self._retract(investigation)
+        return result in _FINAL_RESULTS
+
+    def _record_proof(
+        self, investigation: _Investigation[_UpstreamT], proof: str
+    ) -> None:
+        """Marks the crash as proved and records it against all suspects."""
+        if investigation.crashed:
             return
-        inquiry.found_ended = True
-        inquiry.proof = proof
-        inquiry.proved_at = trio.current_time()
-        first_at = min(run.at for run in inquiry.suspects.values())
-        for fingerprint, left_at in self._left_at(inquiry.state.id, first_at):
-            inquiry.suspects.setdefault(fingerprint, _left_run(left_at))
+        investigation.crashed = True
+        investigation.proof = proof
+        investigation.proved_at = trio.current_time()
+        first_at = min(attempt.at for attempt in investigation.suspects.values())
+        for fingerprint, abandoned_at in self._abandoned_before(
+            investigation.incarnation.id, first_at
+        ):
+            investigation.suspects.setdefault(
+                fingerprint, _abandoned_attempt(abandoned_at)
+            )
         _log.warning(
-            "An upstream ended under requests.",
-            upstream=inquiry.state.id,
+            "An upstream crashed while processing requests.",
+            upstream=investigation.incarnation.id,
             proof=proof,
-            requests=len(inquiry.suspects),
+            requests=len(investigation.suspects),
         )
-        first_began = min(run.began for run in inquiry.suspects.values())
-        end = End(inquiry.state.id, first_at, inquiry.state.born_ms)
-        self.on_ended(end, first_began)
-        for fingerprint in inquiry.suspects:
-            self._note_end(inquiry, fingerprint)
-
-    def _note_end(self, inquiry: _Inquiry[_W], fingerprint: Fingerprint) -> None:
-        self.ledger.settled(fingerprint, inquiry.state.id)
-        end = self._end_under(inquiry, fingerprint)
-        if self.ledger.ended(fingerprint, end):
-            self._log_verdict(fingerprint, teller="")
-        self._untold.append((fingerprint, end, False))
+        first_began = min(attempt.began for attempt in investigation.suspects.values())
+        crash = Crash(
+            investigation.incarnation.id, first_at, investigation.incarnation.born_ms
+        )
+        self.on_crash(crash, first_began)
+        for fingerprint in investigation.suspects:
+            self._record_crash(investigation, fingerprint)
+
+    def _record_crash(
+        self, investigation: _Investigation[_UpstreamT], fingerprint: Fingerprint
+    ) -> None:
+        self.history.resolve_interruption(fingerprint, investigation.incarnation.id)
+        crash = self._crash_evidence(investigation, fingerprint)
+        if self.history.record_crash(fingerprint, crash):
+            self._log_if_quarantined(fingerprint, sender="")
+        self._unsent_reports.append((fingerprint, crash, False))
         self._wake.set()
 
-    def _end_under(self, inquiry: _Inquiry[_W], fingerprint: Fingerprint) -> End:
-        """Returns the upstream's end, if it has ended, under one of the suspects."""
-        state, run = inquiry.state, inquiry.suspects[fingerprint]
-        steady = state.was_steady(began=run.began, at=run.at)
-        weak = run.moved_on or not steady or inquiry.tells_little(run)
-        end = End(state.id, run.at, state.born_ms, weak=weak, source=inquiry.proof)
-        return self.ledger.identified(fingerprint, end, run_began=run.began)
-
-    def _withdraw(self, inquiry: _Inquiry[_W]) -> None:
-        """Takes an end back: the link to the upstream had refused for a moment."""
-        _log.warning("An upstream lives after all.", upstream=inquiry.state.id)
-        for fingerprint in inquiry.suspects:
-            end = self._end_under(inquiry, fingerprint)
-            self.ledger.withdraw(fingerprint, end)
-            self.on_withdrawn(end)
-            self._untold.append((fingerprint, end, True))
+    def _crash_evidence(
+        self, investigation: _Investigation[_UpstreamT], fingerprint: Fingerprint
+    ) -> Crash:
+        """Returns the crash as evidence against one of the suspects."""
+        incarnation, attempt = (
+            investigation.incarnation,
+            investigation.suspects[fingerprint],
+        )
+        steady = incarnation.was_steady(began=attempt.began, at=attempt.at)
+        weak = (
+            attempt.made_progress
+            or not steady
+            or investigation.is_weak_evidence(attempt)
+        )
+        crash = Crash(
+            incarnation.id,
+            attempt.at,
+            incarnation.born_ms,
+            weak=weak,
+            source=investigation.proof,
+        )
+        return self.history.identify_crash(
+            fingerprint, crash, attempt_began=attempt.began
+        )
+
+    def _retract(self, investigation: _Investigation[_UpstreamT]) -> None:
+        """Retracts the crash: the upstream had only refused connections briefly."""
+        _log.warning(
+            "An upstream crash was a false positive.",
+            upstream=investigation.incarnation.id,
+        )
+        for fingerprint in investigation.suspects:
+            crash = self._crash_evidence(investigation, fingerprint)
+            self.history.retract(fingerprint, crash)
+            self.on_crash_retracted(crash)
+            self._unsent_reports.append((fingerprint, crash, True))
         self._wake.set()
 
-    # Telling and hearing.
+    # Updates between instances.
 
-    async def _tell(self) -> None:
-        untold, self._untold = self._untold, []
-        cleared, self._cleared = tuple(self._cleared), []
-        for repeat in range(REPEATS + 1):
+    async def _send_update(self) -> None:
+        unsent, self._unsent_reports = self._unsent_reports, []
+        cleared, self._unsent_clears = tuple(self._unsent_clears), []
+        for repeat in range(UPDATE_REPEATS + 1):
             if repeat:
-                await trio.sleep(REPEAT_S)
+                await trio.sleep(UPDATE_REPEAT_S)
             now = trio.current_time()
-            ends = tuple(
-                ToldEnd.of(fingerprint, end, now=now, withdrawn=withdrawn)
-                for fingerprint, end, withdrawn in untold
+            reports = tuple(
+                CrashReport.of(fingerprint, crash, now=now, retracted=retracted)
+                for fingerprint, crash, retracted in unsent
             )
-            # What was cleared is not told again: it may have become suspect since.
-            self.on_news(ends, () if repeat else cleared)
+            # Clears are not repeated: the request may have become suspect again.
+            self.on_update(reports, () if repeat else cleared)
 
-    def take_news(
-        self, teller: str, ends: tuple[ToldEnd, ...], cleared: tuple[Fingerprint, ...]
+    def apply_update(
+        self,
+        sender: str,
+        reports: tuple[CrashReport, ...],
+        cleared: tuple[Fingerprint, ...],
     ) -> bool:
-        """Takes what another instance has found; returns whether it is news."""
+        """Applies another instance's update; returns whether any of it was new.
+
+        Args:
+          sender: The other instance.
+          reports: Crashes that it reports.
+          cleared: Requests that were answered.
+        """
         now = trio.current_time()
-        before = self.ledger.quarantined(now=now)
-        news = self.ledger.take_told(
-            ends,
+        before = self.history.quarantined(now=now)
+        changed = self.history.merge_reports(
+            reports,
             cleared,
             now=now,
-            teller=teller,
-            on_new=lambda end: self.on_ended(end, end.at),
+            sender=sender,
+            on_new=lambda crash: self.on_crash(crash, crash.at),
         )
-        for told in ends:
-            end = told.heard(now=now)
-            if told.withdrawn:
-                self.on_withdrawn(end)
-            elif self.ledger.was_answered(told.fingerprint, end):
-                # The teller has missed that.
-                self._clear_again(told.fingerprint)
+        for report in reports:
+            crash = report.to_crash(now=now)
+            if report.retracted:
+                self.on_crash_retracted(crash)
+            elif self.history.was_cleared(report.fingerprint, crash):
+                # The sender missed that the request was cleared.
+                self._resend_clear(report.fingerprint)
             else:
-                self._note_left(end)
-        for fingerprint in self.ledger.quarantined(now=now).keys() - before.keys():
-            self._log_verdict(fingerprint, teller=teller)
-        return news
-
-    def _clear_again(self, fingerprint: Fingerprint) -> None:
-        if fingerprint not in self._cleared:
-            self._cleared.append(fingerprint)
+                self._record_against_abandoned(crash)
+        for fingerprint in self.history.quarantined(now=now).keys() - before.keys():
+            self._log_if_quarantined(fingerprint, sender=sender)
+        return changed
+
+    def _resend_clear(self, fingerprint: Fingerprint) -> None:
+        if fingerprint not in self._unsent_clears:
+            self._unsent_clears.append(fingerprint)
             self._wake.set()
 
-    def _note_left(self, end: End) -> None:
-        """Takes an end that another found as one of the runs that were left there."""
-        seen = attrs.evolve(end, number=0)
-        for fingerprint, left_at in self._left_at(end.upstream, end.at):
-            left = self.ledger.identified(fingerprint, seen, run_began=left_at)
-            if self.ledger.ended(fingerprint, left):
-                self._log_verdict(fingerprint, teller="")
-                self._untold.append((fingerprint, left, False))
+    def _record_against_abandoned(self, crash: Crash) -> None:
+        """Records a reported crash against attempts abandoned there shortly before."""
+        unnumbered = attrs.evolve(crash, number=0)
+        for fingerprint, abandoned_at in self._abandoned_before(
+            crash.upstream, crash.at
+        ):
+            own = self.history.identify_crash(
+                fingerprint, unnumbered, attempt_began=abandoned_at
+            )
+            if self.history.record_crash(fingerprint, own):
+                self._log_if_quarantined(fingerprint, sender="")
+                self._unsent_reports.append((fingerprint, own, False))
                 self._wake.set()
 
-    def _log_verdict(self, fingerprint: Fingerprint, *, teller: str) -> None:
+    def _log_if_quarantined(self, fingerprint: Fingerprint, *, sender: str) -> None:
         now = trio.current_time()
-        verdict = self.ledger.verdict(fingerprint, now=now)
-        if verdict.standing is not Standing.QUARANTINED:
+        verdict = self.history.verdict(fingerprint, now=now)
+        if verdict.kind is not VerdictKind.QUARANTINED:
             return
-        ends = self.ledger.ends_of(fingerprint)[-_MOST_LOGGED:]
+        crashes = self.history.crashes_of(fingerprint)[-_MAX_LOGGED_CRASHES:]
         _log.warning(
             "A request is quarantined.",
-            fingerprint=shown(fingerprint),
-            ends=verdict.ends,
-            upstreams=self.ledger.upstreams_of(fingerprint)[-_MOST_LOGGED:],
-            met=[_logged(end, now=now) for end in ends],
-            teller=teller,
+            fingerprint=format_fingerprint(fingerprint),
+            ends=verdict.crashes,
+            upstreams=self.history.crashed_upstreams_of(fingerprint)[
+                -_MAX_LOGGED_CRASHES:
+            ],
+            met=[_crash_log_fields(crash, now=now) for crash in crashes],
+            teller=sender,
             retry_after_s=round(verdict.retry_after_s, 1),
         )
 
 
-def _logged(end: End, *, now: float) -> dict[str, object]:
-    """Returns an end as a line tells it, so that one told twice can be seen."""
+def _crash_log_fields(crash: Crash, *, now: float) -> dict[str, object]:
+    """Returns the log fields of a crash, by which duplicates can be recognised."""
     return {
-        "upstream": end.upstream,
-        "number": end.number,
-        "born_ms": end.born_ms,
-        "age_s": round(now - end.at, 2),
-        "weak": end.weak,
-        "source": end.source,
+        "upstream": crash.upstream,
+        "number": crash.number,
+        "born_ms": crash.born_ms,
+        "age_s": round(now - crash.at, 2),
+        "weak": crash.weak,
+        "source": crash.source,
     }
 
 
-def _left_run(left_at: float) -> _BrokenRun:
-    """Returns a run that was left, of whose beginning nothing is kept."""
-    return _BrokenRun(left_at, left_at)
+def _abandoned_attempt(abandoned_at: float) -> _InterruptedAttempt:
+    """Returns an abandoned attempt; the time at which it began is not known."""
+    return _InterruptedAttempt(abandoned_at, abandoned_at)
--- a/src/coppercleat/quarantine/_ends.py
+++ b/src/coppercleat/quarantine/_ends.py
@@ -1,4 +1,4 @@
-"""Ends of upstreams under requests, and how instances tell each other of them."""
+"""Upstream crashes, and the messages by which instances report them to each other."""
 
 from __future__ import annotations
 
@@ -8,28 +8,29 @@
 from coppercleat.ids import UpstreamId
 from coppercleat.quarantine._fingerprint import Fingerprint
 
-SAME_END_S = 0.5
-"""Two instances that saw an upstream end within this time saw one end: they see its
-connections break within milliseconds, and a start takes longer."""
+SAME_CRASH_WINDOW_S = 0.5
+"""Observations of one upstream this close in time are the same crash: connections break
+within milliseconds, and a restart takes longer."""
 
 
-SHORTEST_LIFE_S = 0.1
-"""No upstream starts and ends within this time."""
+MIN_UPTIME_S = 0.1
+"""No upstream starts and crashes again within this time."""
 
 
 @attrs.frozen
-class End:
-    """One end of an upstream under a request.
+class Crash:
+    """One crash of an upstream while it processed a request.
 
     Attributes:
-      at: When, in seconds of the ledger's clock; late where word of it came late.
-      born_ms: See ``Upstream.born_ms``; 0 if unknown. The list may lag behind a new
-        start, so that two lives may bear one birth here.
-      number: Which end of this upstream under this request it is, from 1, as far as
-        was known to the instance that saw it; 0 before that is worked out.
-      weak: Whether it says little of the request: the upstream was not steady, or the
-        run had moved the request on.
-      source: From whom it is known here, for the log: by which proof, or who told.
+      at: Time of the crash, in seconds of the local clock; too late by any delay of
+        the report.
+      born_ms: See ``Upstream.born_ms``; 0 if unknown. The upstream list may lag behind
+        a restart, so two incarnations may have the same value here.
+      number: Counts the crashes of this upstream under this request from 1, as far as
+        the observing instance knew them; 0 while unassigned.
+      weak: Whether the crash is weak evidence against the request, since the upstream
+        was not steady or the attempt had made progress.
+      source: The proof, or the reporting instance; for the log.
     """
 
     upstream: UpstreamId
@@ -39,98 +40,124 @@
     weak: bool = False
     source: str = attrs.field(default="", eq=False)
 
-    def was_seen_as(self, known: End, *, run_began: float) -> bool:
-        """Returns whether this end, seen here, is one that is known already.
+    def is_duplicate_observation(self, known: Crash, *, attempt_began: float) -> bool:
+        """Returns whether this crash, observed locally, is the known one.
 
         Args:
-          known: The one that is known.
-          run_began: When the run that met it began: what began before an end ends by
-            it, however late that is noticed.
+          known: A crash that is already recorded.
+          attempt_began: When the attempt began that this crash interrupted. An attempt
+            that began before a known crash was interrupted by it, however late that
+            was noticed.
         """
-        began_before = self._may_be(known) and run_began <= known.at
-        return began_before or self.coincides(known) or self._is_near(known)
+        began_before = (
+            self._may_be_same_incarnation(known) and attempt_began <= known.at
+        )
+        return began_before or self.coincides_with(known) or self._is_too_close(known)
 
-    def coincides(self, other: End) -> bool:
-        """Returns whether both ends came about at one time, to one upstream."""
-        return self._may_be(other) and abs(self.at - other.at) < SAME_END_S
+    def coincides_with(self, other: Crash) -> bool:
+        """Returns whether both are crashes of one upstream at the same time."""
+        return (
+            self._may_be_same_incarnation(other)
+            and abs(self.at - other.at) < SAME_CRASH_WINDOW_S
+        )
 
-    def was_told_as(self, known: End) -> bool:
-        """Returns whether this end, told by another instance, is known already.
+    def is_duplicate_report(self, known: Crash) -> bool:
+        """Returns whether this crash, reported by another instance, is the known one.
 
-        Its time tells nothing: an end is told by its age, and each word of it that lies
-        unread, or waits for a link, places it later.
+        The time is not compared: reports state the age of a crash, so each delay on the
+        way makes it look more recent.
         """
-        return (self._may_be(known) and self.number == known.number) or self._is_near(
-            known
-        )
+        return (
+            self._may_be_same_incarnation(known) and self.number == known.number
+        ) or self._is_too_close(known)
 
-    def _is_near(self, known: End) -> bool:
-        """Returns whether it is of this upstream, and too near for another life.
+    def _is_too_close(self, known: Crash) -> bool:
+        """Returns whether the upstream can't have restarted between the two crashes.
 
-        The list may lag at one of two instances, so that they tell two births.
+        Start times are ignored, since one instance may have an outdated upstream list.
         """
-        near = abs(self.at - known.at) < SHORTEST_LIFE_S
+        near = abs(self.at - known.at) < MIN_UPTIME_S
         return near and self.upstream == known.upstream
 
-    def _may_be(self, known: End) -> bool:
-        """Returns whether it is of this upstream, and not of another of its lives."""
-        births = {self.born_ms, known.born_ms} - {0}
-        return self.upstream == known.upstream and len(births) < 2
+    def _may_be_same_incarnation(self, known: Crash) -> bool:
+        """Returns whether both are of one upstream, with no two known start times."""
+        start_times = {self.born_ms, known.born_ms} - {0}
+        return self.upstream == known.upstream and len(start_times) < 2
 
 
-class ToldEnd(msgspec.Struct, frozen=True, array_like=True):
-    """An upstream that ended under a request, as instances tell each other.
+class CrashReport(msgspec.Struct, frozen=True, array_like=True):
+    """A crash of an upstream, as one instance reports it to another.
 
     Attributes:
-      age_s: How long ago, so that no clocks are compared.
-      withdrawn: Whether it was found alive after all.
-      born_ms: See ``End``.
-      number: See ``End``; instances of an earlier version tell none.
-      weak: See ``End``; instances of an earlier version tell and pass on none, and
-        may have counted whole what says little.
+      fingerprint: The request that the upstream was processing.
+      upstream: The upstream that crashed.
+      age_s: Seconds since the crash, so that clocks need not agree.
+      retracted: Whether the crash turned out to be a false positive.
+      born_ms: See ``Crash``.
+      number: See ``Crash``; absent from instances of earlier versions.
+      weak: See ``Crash``; absent from instances of earlier versions, which may have
+        counted weak evidence in full.
     """
 
     fingerprint: Fingerprint
     upstream: UpstreamId
     age_s: float
-    withdrawn: bool = False
+    retracted: bool = False
     born_ms: int = 0
     number: int = 1
     weak: bool = True
 
     @classmethod
     def of(
-        cls, fingerprint: Fingerprint, end: End, *, now: float, withdrawn: bool = False
-    ) -> ToldEnd:
-        """Returns what to tell others of an end that this instance knows."""
+        cls,
+        fingerprint: Fingerprint,
+        crash: Crash,
+        *,
+        now: float,
+        retracted: bool = False,
+    ) -> CrashReport:
+        """Returns the report of a crash that this instance knows.
+
+        Args:
+          fingerprint: The request that the upstream was processing.
+          crash: The crash.
+          now: Seconds on the local clock.
+          retracted: Whether to report the crash as a false positive.
+        """
         return cls(
             fingerprint,
-            end.upstream,
-            now - end.at,
-            withdrawn,
-            end.born_ms,
-            end.number,
-            end.weak,
+            crash.upstream,
+            now - crash.at,
+            retracted,
+            crash.born_ms,
+            crash.number,
+            crash.weak,
         )
 
-    def heard(self, *, now: float, teller: str = "") -> End:
-        """Returns the end by the clock of who hears of it now."""
-        return End(
+    def to_crash(self, *, now: float, sender: str = "") -> Crash:
+        """Returns the reported crash, with its time on the local clock.
+
+        Args:
+          now: Seconds on the local clock.
+          sender: The reporting instance, for the log.
+        """
+        return Crash(
             self.upstream,
             now - self.age_s,
             self.born_ms,
             self.number,
             self.weak,
-            source=f"told by {teller}",
+            source=f"reported by {sender}",
         )
 
 
-class EndsSeen(msgspec.Struct, frozen=True, tag="ends", array_like=True):
-    """Tells of upstreams that ended under requests, found or heard of.
+class CrashUpdate(msgspec.Struct, frozen=True, tag="ends", array_like=True):
+    """Message that reports crashes and cleared requests to another instance.
 
     Attributes:
-      cleared: Requests that an upstream has answered.
+      reports: Crashes observed by the sender or reported to it.
+      cleared: Requests that an upstream has answered since.
     """
 
-    ends: tuple[ToldEnd, ...]
+    reports: tuple[CrashReport, ...]
     cleared: tuple[Fingerprint, ...] = ()
--- a/src/coppercleat/quarantine/_ledger.py
+++ b/src/coppercleat/quarantine/_ledger.py
@@ -1,9 +1,8 @@
-"""Counts the upstreams that ended under a request, and says when it may run again.
+"""Counts upstream crashes by request, and quarantines requests that may cause them.
 
-Answers the load of a request that ends each upstream that runs it (a "query of death")
-and that its client sends again and again, to any instance: each end cuts the runs of
-all others at that upstream. Whose runs were cut beside it is as suspect at first; a run
-that its upstream answers clears a request. Holds no clock and does no I/O.
+A "query of death" crashes each upstream that processes it, and client retries spread it
+over the fleet. A crash interrupts all requests in flight at the upstream; each of them
+is suspect until an upstream answers it. Reads no clock and does no I/O.
 """
 
 from __future__ import annotations
@@ -15,76 +14,69 @@
 import attrs
 
 from coppercleat.ids import UpstreamId
-from coppercleat.quarantine._ends import SAME_END_S, End, ToldEnd
+from coppercleat.quarantine._ends import SAME_CRASH_WINDOW_S, Crash, CrashReport
 from coppercleat.quarantine._fingerprint import Fingerprint
 
-MOST_ENDS = 3
-"""Ends after which a request runs no more. One or two come about by chance: a request
-whose upstream ends under another's is sent again, and may meet the other again. Among
-nine upstreams that is one request of 80 that were cut with it."""
+QUARANTINE_CRASHES = 3
+"""Crashes after which a request is quarantined. An innocent request may meet a few:
+retries of it and of the culprit can reach the same upstream."""
 
-_WARY_ENDS = 2
-WARY_S = 8.0
-"""After so many ends a request is sent to steady upstreams only, for so long after the
-last: what has just started may end by itself, and a proper request would be held to
-account for that. No longer, since upstreams may end again and again for hours, and
-serve others in between; a further end there counts half."""
+_STEADY_ONLY_CRASHES = 2
+STEADY_ONLY_S = 8.0
+"""After so many crashes, and for so many seconds after the last, a request is sent to
+steady upstreams only, since one that has just started may crash by itself. The time is
+limited, since upstreams may be unsteady for hours."""
 
 _WEIGHT, _WEAK_WEIGHT = 2, 1
-_MOST_WEIGHT = MOST_ENDS * _WEIGHT
-"""A weak end counts half, not nothing: the request may be the cause all the same, and
-meets six before it is kept from running."""
+_QUARANTINE_WEIGHT = QUARANTINE_CRASHES * _WEIGHT
+"""Weight of a crash as evidence, and the sum from which a request is quarantined."""
 
-PAUSES_S = (60.0, 600.0, 3600.0)
-"""How long it is kept from running after the ends that say enough, and after each that
-follows. Then one trial is let through, so that a proper request is not refused for
-ever; a deadly one costs three upstreams more within two hours."""
+QUARANTINE_PERIODS_S = (60.0, 600.0, 3600.0)
+"""Seconds of quarantine, at first and after each failed trial. After a period one trial
+is allowed, so that an innocent request is not refused for good."""
 
-ITEM_PAUSES_S = (5.0, 10.0, 60.0, 600.0, 3600.0)
-"""The same for items. They are run again without anybody asking, so that a proper one
-meets the ends of others more often, and they are due in seconds: two trials fit into
-15 s. A job may be kept for hours, so that there are more."""
+ITEM_QUARANTINE_PERIODS_S = (5.0, 10.0, 60.0, 600.0, 3600.0)
+"""The same for items of batch jobs. The first periods are short, since items are due
+within seconds and their automatic retries meet the crashes of others more often."""
 
-DOUBTFUL_PAUSE_S = 5.0
-"""The first pause at most if any end was weak: the request may well be a proper one."""
+WEAK_EVIDENCE_PERIOD_S = 5.0
+"""Upper limit of the first quarantine period if any of the evidence is weak."""
 
 TRIAL_STAGGER_S = 2.0
-"""The next in line lets a trial through so much later than the one before, as not every
-instance is asked for each request. A trial that ends its upstream is told by then."""
+"""Delay after which the next instance in line may run a trial, as the one before it may
+not receive the request. Long enough for a failed trial to be reported."""
 
-REMEMBERED_S = 24 * 3600.0
-"""A request that is quarantined is forgotten so long after its last end."""
+QUARANTINED_RETENTION_S = 24 * 3600.0
+"""Time after its last crash for which a quarantined request is remembered."""
 
-SUSPECT_S = 600.0
-"""One with fewer ends is forgotten after this time: a client gives up much sooner, and
-while any is remembered each request has its fingerprint worked out."""
+SUSPECT_RETENTION_S = 600.0
+"""The same for a suspect request. Longer than clients retry, but short: each request is
+fingerprinted while any is remembered."""
 
 HELD_RETRY_S = 1.0
-"""When to come back while it is not known whether upstreams have ended: they are asked,
-and most are found dead or alive in 0.1 s."""
+"""Retry delay for a request while upstreams are probed for a crash."""
 
-MOST_REQUESTS = 1024
-"""Requests that are remembered, 0.7 MB with three ends each. When an upstream ends, up
-to as many as its slots are added; those with the fewest and oldest ends go first."""
+MAX_REQUESTS = 1024
+"""Limit of remembered requests; those with the lightest and oldest evidence are evicted
+first."""
 
-_MOST_DISCOUNTED = 8
-"""Ends of one request that are remembered as taken back, or voided by an answer: the
-last ones."""
+_MAX_DISCOUNTED = 8
+"""Limit of remembered crashes of one request that were retracted or voided."""
 
-MOST_TOLD = 24
-"""Requests of which others are reminded in one message, 3 kB with three ends each, by
-the number of ends. What is found is told at once, and whole: 50 bytes an end."""
+MAX_REMINDED_REQUESTS = 24
+"""Limit of requests in one periodic message, by weight of the evidence. New crashes are
+reported at once and without a limit."""
 
 
-class Standing(enum.Enum):
-    """What may be done with a request.
+class VerdictKind(enum.Enum):
+    """Kind of a verdict on a request.
 
     Attributes:
       FREE: It may run.
-      TRIAL: It may run once, after a pause.
-      HELD: It waits until it is known whether upstreams have ended under it.
-      UNSTEADY: It waits for an upstream that is steady, and open to it.
-      QUARANTINED: It waits its pause out.
+      TRIAL: It may run once, since its quarantine period is over.
+      HELD: It waits until probes show whether upstreams crashed under it.
+      UNSTEADY: It waits until a steady upstream is available.
+      QUARANTINED: It may not run until its quarantine period is over.
     """
 
     FREE = "free"
@@ -99,322 +91,347 @@
     """Whether a request may run now.
 
     Attributes:
-      retry_after_s: When it may, from now; 0 if it may.
-      ends: Upstreams that have ended under it.
-      wary: Whether it may go to steady upstreams only.
-      overdue_s: For how long a trial of it has been due.
+      kind: What the request may do.
+      retry_after_s: Seconds until it may run; 0 if it may run now.
+      crashes: Number of crashes recorded against it.
+      steady_only: Whether it may be sent to steady upstreams only.
+      overdue_s: Seconds since a trial became due.
     """
 
-    standing: Standing
+    kind: VerdictKind
     retry_after_s: float = 0.0
-    ends: int = 0
-    wary: bool = False
+    crashes: int = 0
+    steady_only: bool = False
     overdue_s: float = 0.0
 
     @property
     def may_run(self) -> bool:
         """Whether it may be sent to an upstream."""
-        return self.standing in (Standing.FREE, Standing.TRIAL)
+        return self.kind in (VerdictKind.FREE, VerdictKind.TRIAL)
 
 
-FREE = Verdict(Standing.FREE)
-"""Nothing speaks against the request."""
+FREE = Verdict(VerdictKind.FREE)
+"""Verdict on a request without recorded crashes."""
 
 
 @attrs.define
 class _Record:
-    """What is held against one request.
+    """Evidence against one request.
 
     Attributes:
-      ends: In the order they were learnt of.
-      pending: Upstreams at which a run broke off and that may have ended.
-      trial_at: When a trial was last let through.
+      crashes: In the order in which they were recorded.
+      pending: Upstreams that may have crashed and are being probed.
+      trial_at: When the last trial began.
     """
 
-    ends: list[End] = attrs.field(factory=list)
+    crashes: list[Crash] = attrs.field(factory=list)
     pending: list[UpstreamId] = attrs.field(factory=list)
     trial_at: float = float("-inf")
 
     @property
     def weight(self) -> int:
-        """How much the ends say against the request."""
-        return sum(_WEAK_WEIGHT if end.weak else _WEIGHT for end in self.ends)
+        """Sum of the weights of the crashes."""
+        return sum(_WEAK_WEIGHT if crash.weak else _WEIGHT for crash in self.crashes)
 
     @property
     def quarantined(self) -> bool:
-        """Whether they say enough to keep it from running."""
-        return self.weight >= _MOST_WEIGHT
+        """Whether the evidence is heavy enough for a quarantine."""
+        return self.weight >= _QUARANTINE_WEIGHT
 
     @property
     def trials_failed(self) -> int:
-        """How many ends it met after it was kept from running for the first time."""
-        weights = [_WEAK_WEIGHT if end.weak else _WEIGHT for end in self.ends]
+        """Number of crashes after the one that began the quarantine."""
+        weights = [_WEAK_WEIGHT if crash.weak else _WEIGHT for crash in self.crashes]
         reached = itertools.accumulate(weights)
-        return sum(weight >= _MOST_WEIGHT for weight in reached) - 1
+        return sum(weight >= _QUARANTINE_WEIGHT for weight in reached) - 1
 
     @property
     def last_at(self) -> float:
-        return max((end.at for end in self.ends), default=float("-inf"))
+        return max((crash.at for crash in self.crashes), default=float("-inf"))
 
-    def find_told(self, end: End) -> End | None:
-        """Returns the end already known that a told one is; None if it is new."""
-        return next((known for known in self.ends if end.was_told_as(known)), None)
+    def find_reported(self, crash: Crash) -> Crash | None:
+        """Returns the recorded crash that a reported one repeats; None if it is new."""
+        return next(
+            (known for known in self.crashes if crash.is_duplicate_report(known)), None
+        )
 
-    def find_seen(self, end: End, *, run_began: float) -> End | None:
-        """Returns the end already known that a seen one is; None if it is new."""
-        same = (e for e in self.ends if end.was_seen_as(e, run_began=run_began))
-        return next(same, None)
+    def find_observed(self, crash: Crash, *, attempt_began: float) -> Crash | None:
+        """Returns the recorded crash that an observed one repeats; None if new."""
+        duplicates = (
+            known
+            for known in self.crashes
+            if crash.is_duplicate_observation(known, attempt_began=attempt_began)
+        )
+        return next(duplicates, None)
 
-    def numbered(self, end: End, *, before: Sequence[End] = ()) -> End:
-        """Returns a new end with its number.
+    def with_number(self, crash: Crash, *, before: Sequence[Crash] = ()) -> Crash:
+        """Returns a new crash with its number assigned.
 
         Args:
-          end: The end.
-          before: Ends that were known earlier and count no more.
+          crash: The crash.
+          before: Earlier crashes that were retracted or voided.
         """
-        if end.number:
-            return end
-        earlier = (*before, *self.ends)
-        same = [known.number for known in earlier if known.upstream == end.upstream]
-        return attrs.evolve(end, number=max(same, default=0) + 1)
+        if crash.number:
+            return crash
+        earlier = (*before, *self.crashes)
+        numbers = [c.number for c in earlier if c.upstream == crash.upstream]
+        return attrs.evolve(crash, number=max(numbers, default=0) + 1)
 
 
-class EndLedger:
-    """Ends by request; the time is passed in, in seconds of one clock."""
+class CrashHistory:
+    """Crashes by request; all times are seconds on one clock of the caller."""
 
     def __init__(self) -> None:
         self._records: dict[Fingerprint, _Record] = {}
-        self._void: dict[tuple[Fingerprint, UpstreamId | None], float] = {}
-        self._discounted: dict[Fingerprint, list[End]] = {}
+        self._voided_until: dict[tuple[Fingerprint, UpstreamId | None], float] = {}
+        self._discounted: dict[Fingerprint, list[Crash]] = {}
 
     def __len__(self) -> int:
         return len(self._records)
 
-    # What is learnt.
+    # Recording evidence.
 
-    def broke_off(self, fingerprint: Fingerprint, upstream: UpstreamId) -> None:
-        """Notes a run that broke off at an upstream that may have ended."""
+    def record_interruption(
+        self, fingerprint: Fingerprint, upstream: UpstreamId
+    ) -> None:
+        """Records an interrupted attempt at an upstream that may have crashed."""
         self._record(fingerprint).pending.append(upstream)
 
-    def settled(self, fingerprint: Fingerprint, upstream: UpstreamId) -> None:
-        """Notes that nothing more will be known of a run that broke off."""
+    def resolve_interruption(
+        self, fingerprint: Fingerprint, upstream: UpstreamId
+    ) -> None:
+        """Removes an interrupted attempt whose upstream is no longer probed."""
         record = self._records.get(fingerprint)
         if record is None or upstream not in record.pending:
             return
         record.pending.remove(upstream)
         self._drop_if_empty(fingerprint, record)
 
-    def identified(
-        self, fingerprint: Fingerprint, end: End, *, run_began: float
-    ) -> End:
-        """Returns an end that was seen here as it is to be told: known, or numbered."""
+    def identify_crash(
+        self, fingerprint: Fingerprint, crash: Crash, *, attempt_began: float
+    ) -> Crash:
+        """Returns the recorded crash that an observed one repeats, or it with a number.
+
+        Args:
+          fingerprint: The request.
+          crash: The crash as observed here.
+          attempt_began: When the interrupted attempt began.
+        """
         record = self._records.get(fingerprint, _Record())
         before = self._discounted.get(fingerprint, ())
-        known = record.find_seen(end, run_began=run_began)
-        return known or record.numbered(end, before=before)
+        known = record.find_observed(crash, attempt_began=attempt_began)
+        return known or record.with_number(crash, before=before)
 
-    def ended(self, fingerprint: Fingerprint, end: End) -> bool:
-        """Notes that an upstream ended under a request; returns whether that is new.
+    def record_crash(self, fingerprint: Fingerprint, crash: Crash) -> bool:
+        """Records a crash under a request; returns whether it is new.
 
         Args:
           fingerprint: The request.
-          end: Told, or identified here.
+          crash: The crash, with its number.
         """
         record = self._record(fingerprint)
-        if record.find_told(end) is not None:
+        if record.find_reported(crash) is not None:
             return False
-        if not self._counts(fingerprint, end):
+        if not self._counts(fingerprint, crash):
             self._drop_if_empty(fingerprint, record)
             return False
-        record.ends.append(end)
+        record.crashes.append(crash)
         return True
 
-    def adopt(self, fingerprint: Fingerprint, ends: list[End]) -> None:
-        """Takes all ends that another knows in place of the own, if they say more."""
-        counted = [end for end in ends if self._counts(fingerprint, end)]
+    def adopt(self, fingerprint: Fingerprint, crashes: list[Crash]) -> None:
+        """Replaces the recorded crashes of a request by those given, if heavier."""
+        counted = [crash for crash in crashes if self._counts(fingerprint, crash)]
         record = self._record(fingerprint)
-        if _Record(ends=counted).weight > record.weight:
-            record.ends = []
-            for end in counted:
-                record.ends.append(record.numbered(end))
+        if _Record(crashes=counted).weight > record.weight:
+            record.crashes = []
+            for crash in counted:
+                record.crashes.append(record.with_number(crash))
         self._drop_if_empty(fingerprint, record)
 
-    def withdraw(self, fingerprint: Fingerprint, end: End) -> bool:
-        """Notes that an upstream that seemed to have ended then lives on.
-
-        Returns:
-          Whether its end was held against the request.
-        """
-        self._void[fingerprint, end.upstream] = end.at + SAME_END_S
-        self._discount(fingerprint, [end])
+    def retract(self, fingerprint: Fingerprint, crash: Crash) -> bool:
+        """Removes a false positive; returns whether it was recorded."""
+        self._voided_until[fingerprint, crash.upstream] = crash.at + SAME_CRASH_WINDOW_S
+        self._discount(fingerprint, [crash])
         record = self._records.get(fingerprint)
         if record is None:
             return False
-        known = record.find_told(end)
+        known = record.find_reported(crash)
         if known is not None:
-            record.ends.remove(known)
+            record.crashes.remove(known)
         self._drop_if_empty(fingerprint, record)
         return known is not None
 
     def clear(self, fingerprint: Fingerprint, *, now: float) -> bool:
-        """Notes a run that was answered; returns whether anything was held against it.
+        """Clears a request; returns whether there was any evidence against it.
 
-        A request that ends its upstreams has none. Others may still tell of ends of
-        before, which then count no more.
+        Crashes up to now are void, also if other instances report them later.
         """
         record = self._records.pop(fingerprint, None)
         if record is None:
             return False
-        self._void[fingerprint, None] = now
-        self._discount(fingerprint, record.ends)
+        self._voided_until[fingerprint, None] = now
+        self._discount(fingerprint, record.crashes)
         return True
 
-    def was_answered(self, fingerprint: Fingerprint, end: End) -> bool:
-        """Returns whether an answer has voided an end, and nothing came after it."""
-        if fingerprint in self._records or (fingerprint, None) not in self._void:
+    def was_cleared(self, fingerprint: Fingerprint, crash: Crash) -> bool:
+        """Returns whether an answer voided a crash, with no new evidence since."""
+        if (
+            fingerprint in self._records
+            or (fingerprint, None) not in self._voided_until
+        ):
             return False
-        return not self._counts(fingerprint, end)
+        return not self._counts(fingerprint, crash)
 
-    def take_told(
+    def merge_reports(
         self,
-        ends: Iterable[ToldEnd],
+        reports: Iterable[CrashReport],
         cleared: Iterable[Fingerprint],
         *,
         now: float,
-        teller: str = "",
-        on_new: Callable[[End], None] = lambda end: None,
+        sender: str = "",
+        on_new: Callable[[Crash], None] = lambda crash: None,
     ) -> bool:
-        """Takes what another instance tells; returns whether any of it is new.
+        """Merges the reports of another instance; returns whether any was new.
 
         Args:
-          ends: What it has seen or heard of.
+          reports: Crashes that it reports.
           cleared: Requests that were answered.
-          now: Seconds on this instance's clock.
-          teller: Who tells, for the log.
-          on_new: Told of each end that is new.
+          now: Seconds on the local clock.
+          sender: The reporting instance, for the log.
+          on_new: Called with each new crash.
         """
-        news = [self.clear(fingerprint, now=now) for fingerprint in cleared]
-        for told in ends:
-            end = told.heard(now=now, teller=teller)
-            note = self.withdraw if told.withdrawn else self.ended
-            news.append(note(told.fingerprint, end))
-            if news[-1] and not told.withdrawn:
-                on_new(end)
+        changes = [self.clear(fingerprint, now=now) for fingerprint in cleared]
+        for report in reports:
+            crash = report.to_crash(now=now, sender=sender)
+            apply = self.retract if report.retracted else self.record_crash
+            changes.append(apply(report.fingerprint, crash))
+            if changes[-1] and not report.retracted:
+                on_new(crash)
         self.forget_old(now)
-        return any(news)
+        return any(changes)
 
-    # What follows.
+    # Verdicts and reports.
 
     def verdict(
         self,
         fingerprint: Fingerprint,
         *,
         now: float,
-        pauses_s: Sequence[float] = PAUSES_S,
+        periods_s: Sequence[float] = QUARANTINE_PERIODS_S,
     ) -> Verdict:
-        """Returns whether a request may run, or when one trial of it may."""
+        """Returns whether a request may run, or when a trial of it is due.
+
+        Args:
+          fingerprint: The request.
+          now: Seconds on the local clock.
+          periods_s: Quarantine periods in seconds.
+        """
         record = self._records.get(fingerprint)
         if record is None:
             return FREE
-        ends = len(record.ends)
+        crashes = len(record.crashes)
         if record.quarantined:
-            return self._verdict_after_pause(record, now, pauses_s)
-        if record.weight + len(set(record.pending)) * _WEIGHT >= _MOST_WEIGHT:
-            return Verdict(Standing.HELD, HELD_RETRY_S, ends)
-        wary = ends >= _WARY_ENDS and now - record.last_at < WARY_S
-        return Verdict(Standing.FREE, ends=ends, wary=wary)
-
-    def _verdict_after_pause(
-        self, record: _Record, now: float, pauses_s: Sequence[float]
+            return self._verdict_in_quarantine(record, now, periods_s)
+        if record.weight + len(set(record.pending)) * _WEIGHT >= _QUARANTINE_WEIGHT:
+            return Verdict(VerdictKind.HELD, HELD_RETRY_S, crashes)
+        steady_only = (
+            crashes >= _STEADY_ONLY_CRASHES and now - record.last_at < STEADY_ONLY_S
+        )
+        return Verdict(VerdictKind.FREE, crashes=crashes, steady_only=steady_only)
+
+    def _verdict_in_quarantine(
+        self, record: _Record, now: float, periods_s: Sequence[float]
     ) -> Verdict:
-        ends, trial = len(record.ends), record.trials_failed
-        if trial < len(pauses_s):
-            pause_s = pauses_s[trial]
-            if not trial and any(end.weak for end in record.ends):
-                pause_s = min(pause_s, DOUBTFUL_PAUSE_S)
-            left_s = max(record.last_at, record.trial_at) + pause_s - now
+        crashes, trial = len(record.crashes), record.trials_failed
+        if trial < len(periods_s):
+            period_s = periods_s[trial]
+            if not trial and any(crash.weak for crash in record.crashes):
+                period_s = min(period_s, WEAK_EVIDENCE_PERIOD_S)
+            remaining_s = max(record.last_at, record.trial_at) + period_s - now
         else:
-            left_s = max(0.1, record.last_at + REMEMBERED_S - now)
+            remaining_s = max(0.1, record.last_at + QUARANTINED_RETENTION_S - now)
         return Verdict(
-            Standing.QUARANTINED,
-            max(0.0, left_s),
-            ends,
-            wary=-left_s < WARY_S,
-            overdue_s=max(0.0, -left_s),
+            VerdictKind.QUARANTINED,
+            max(0.0, remaining_s),
+            crashes,
+            steady_only=-remaining_s < STEADY_ONLY_S,
+            overdue_s=max(0.0, -remaining_s),
         )
 
     def begin_trial(self, fingerprint: Fingerprint, *, now: float) -> None:
-        """Notes that one run is let through; the next waits for a pause again."""
+        """Records that a trial began; the quarantine period starts anew."""
         self._records[fingerprint].trial_at = now
 
-    def give_back_trial(self, fingerprint: Fingerprint) -> None:
-        """Notes that the run that was let through has not come about, or was cut."""
+    def cancel_trial(self, fingerprint: Fingerprint) -> None:
+        """Records that the trial did not take place, so that another is allowed."""
         if fingerprint in self._records:
             self._records[fingerprint].trial_at = float("-inf")
 
-    def told(self, *, now: float) -> tuple[ToldEnd, ...]:
-        """Returns what to tell an instance that may know nothing of it."""
+    def crash_reports(self, *, now: float) -> tuple[CrashReport, ...]:
+        """Returns reports of the known crashes, for a periodic message."""
         self.forget_old(now)
         records = sorted(self._records.items(), key=lambda item: -item[1].weight)
         return tuple(
-            ToldEnd.of(fingerprint, end, now=now)
-            for fingerprint, record in records[:MOST_TOLD]
-            for end in record.ends
+            CrashReport.of(fingerprint, crash, now=now)
+            for fingerprint, record in records[:MAX_REMINDED_REQUESTS]
+            for crash in record.crashes
         )
 
-    def ends_of(self, fingerprint: Fingerprint) -> list[End]:
-        """Returns the ends of upstreams under a request."""
-        return list(self._records.get(fingerprint, _Record()).ends)
+    def crashes_of(self, fingerprint: Fingerprint) -> list[Crash]:
+        """Returns the crashes recorded against a request."""
+        return list(self._records.get(fingerprint, _Record()).crashes)
 
     def is_quarantined(self, fingerprint: Fingerprint) -> bool:
-        """Returns whether the ends under a request keep it from running."""
+        """Returns whether a request is quarantined."""
         record = self._records.get(fingerprint)
         return record is not None and record.quarantined
 
-    def upstreams_of(self, fingerprint: Fingerprint) -> list[UpstreamId]:
-        """Returns the upstreams that have ended under a request, in order."""
-        return [end.upstream for end in self.ends_of(fingerprint)]
+    def crashed_upstreams_of(self, fingerprint: Fingerprint) -> list[UpstreamId]:
+        """Returns the upstreams of the recorded crashes, in the same order."""
+        return [crash.upstream for crash in self.crashes_of(fingerprint)]
 
     def quarantined(self, *, now: float) -> dict[Fingerprint, int]:
-        """Returns requests that are kept from running, with the ends under each."""
+        """Returns the quarantined requests, with the number of crashes of each."""
         return {
-            fingerprint: len(record.ends)
+            fingerprint: len(record.crashes)
             for fingerprint, record in self._records.items()
-            if record.quarantined and now - record.last_at <= REMEMBERED_S
+            if record.quarantined and now - record.last_at <= QUARANTINED_RETENTION_S
         }
 
-    # Bounds.
+    # Expiry and eviction.
 
     def _record(self, fingerprint: Fingerprint) -> _Record:
         record = self._records.get(fingerprint)
         if record is None:
-            if len(self._records) >= MOST_REQUESTS:
-                self._drop_least()
+            if len(self._records) >= MAX_REQUESTS:
+                self._evict_lightest()
             record = self._records[fingerprint] = _Record()
         return record
 
-    def _is_void(self, fingerprint: Fingerprint, end: End) -> bool:
-        """Returns whether an end came before what has shown that it does not count."""
-        keys = (fingerprint, end.upstream), (fingerprint, None)
-        return end.at <= max(self._void.get(key, float("-inf")) for key in keys)
+    def _is_voided(self, fingerprint: Fingerprint, crash: Crash) -> bool:
+        """Returns whether a crash is older than an answer or a retraction."""
+        keys = (fingerprint, crash.upstream), (fingerprint, None)
+        return crash.at <= max(
+            self._voided_until.get(key, float("-inf")) for key in keys
+        )
 
-    def _discount(self, fingerprint: Fingerprint, ends: list[End]) -> None:
-        """Remembers ends that count no more, as word of them may be read late."""
+    def _discount(self, fingerprint: Fingerprint, crashes: list[Crash]) -> None:
+        """Remembers crashes that no longer count, since reports may arrive late."""
         before = self._discounted.pop(fingerprint, [])
-        self._discounted[fingerprint] = [*before, *ends][-_MOST_DISCOUNTED:]
+        self._discounted[fingerprint] = [*before, *crashes][-_MAX_DISCOUNTED:]
 
-    def _counts(self, fingerprint: Fingerprint, end: End) -> bool:
-        """Returns whether nothing has shown that an end does not count."""
+    def _counts(self, fingerprint: Fingerprint, crash: Crash) -> bool:
+        """Returns whether a crash is neither void nor retracted."""
         discounted = self._discounted.get(fingerprint, ())
-        if self._is_void(fingerprint, end):
+        if self._is_voided(fingerprint, crash):
             return False
-        return not (end.number and any(map(end.was_told_as, discounted)))
+        return not (crash.number and any(map(crash.is_duplicate_report, discounted)))
 
     def _drop_if_empty(self, fingerprint: Fingerprint, record: _Record) -> None:
-        if not record.ends and not record.pending:
+        if not record.crashes and not record.pending:
             self._records.pop(fingerprint, None)
 
-    def _drop_least(self) -> None:
+    def _evict_lightest(self) -> None:
         def weight(fingerprint: Fingerprint) -> tuple[int, float]:
             record = self._records[fingerprint]
             return record.weight, record.last_at
@@ -422,12 +439,14 @@
         del self._records[min(self._records, key=weight)]
 
     def forget_old(self, now: float) -> None:
-        """Drops what is too old to count."""
+        """Removes expired evidence and enforces the size limits."""
         for fingerprint, record in list(self._records.items()):
-            lasts_s = REMEMBERED_S if record.quarantined else SUSPECT_S
-            if record.ends and now - record.last_at > lasts_s:
+            retention_s = (
+                QUARANTINED_RETENTION_S if record.quarantined else SUSPECT_RETENTION_S
+            )
+            if record.crashes and now - record.last_at > retention_s:
                 del self._records[fingerprint]
-        while len(self._void) > MOST_REQUESTS:
-            del self._void[next(iter(self._void))]
-        while len(self._discounted) > MOST_REQUESTS:
+        while len(self._voided_until) > MAX_REQUESTS:
+            del self._voided_until[next(iter(self._voided_until))]
+        while len(self._discounted) > MAX_REQUESTS:
             del self._discounted[next(iter(self._discounted))]
--- a/src/coppercleat/quarantine/_page.py
+++ b/src/coppercleat/quarantine/_page.py
@@ -1,4 +1,4 @@
-"""The page by which operators list quarantined requests and clear one."""
+"""Admin endpoint to list quarantined requests and to clear one."""
 
 from __future__ import annotations
 
@@ -11,22 +11,24 @@
 
 from coppercleat.asgi import Scope, Send, send_json
 from coppercleat.observability import part_logger
-from coppercleat.quarantine._end_watch import EndWatch
-from coppercleat.quarantine._fingerprint import Fingerprint, shown
+from coppercleat.quarantine._end_watch import CrashDetector
+from coppercleat.quarantine._fingerprint import Fingerprint, format_fingerprint
 
-PAGE = "/quarantine"
-"""GET lists; DELETE with ``?fingerprint=HEX`` clears one, at all instances."""
+QUARANTINE_PATH = "/quarantine"
+"""GET lists quarantined requests; DELETE with ``?fingerprint=HEX`` clears one on all
+instances."""
 
 _log = part_logger("quarantine")
 
 
 class QuarantinedRequest(msgspec.Struct):
-    """A request that is kept from running.
+    """A quarantined request, as the endpoint lists it.
 
     Attributes:
-      upstreams: Those that ended under it, in order.
-      last_at: When the last one ended, in Unix seconds.
-      retry_after_s: When one trial of it may be made; 0 for now.
+      fingerprint: In hexadecimal.
+      upstreams: Ids of the upstreams that crashed, in the order of the reports.
+      last_at: Unix time of the last crash, in seconds.
+      retry_after_s: Seconds until a trial is allowed; 0 if it is allowed now.
     """
 
     fingerprint: str
@@ -35,40 +37,54 @@
     retry_after_s: float
 
 
-def list_quarantined(watch: EndWatch[Any]) -> list[QuarantinedRequest]:
-    """Returns the requests that are kept from running."""
+def list_quarantined_requests(detector: CrashDetector[Any]) -> list[QuarantinedRequest]:
+    """Returns the quarantined requests that this instance knows."""
     now = trio.current_time()
     wall_at_zero = time.time() - now
-    found = []
-    for fingerprint in watch.ledger.quarantined(now=now):
-        ends = watch.ledger.ends_of(fingerprint)
-        verdict = watch.ledger.verdict(fingerprint, now=now)
-        found.append(
+    requests = []
+    for fingerprint in detector.history.quarantined(now=now):
+        crashes = detector.history.crashes_of(fingerprint)
+        verdict = detector.history.verdict(fingerprint, now=now)
+        requests.append(
             QuarantinedRequest(
-                fingerprint=shown(fingerprint),
-                upstreams=[end.upstream for end in ends],
-                last_at=round(wall_at_zero + max(end.at for end in ends), 3),
+                fingerprint=format_fingerprint(fingerprint),
+                upstreams=[crash.upstream for crash in crashes],
+                last_at=round(wall_at_zero + max(crash.at for crash in crashes), 3),
                 retry_after_s=round(verdict.retry_after_s, 1),
             )
         )
-    return found
+    return requests
 
 
-async def serve_page(watch: EndWatch[Any], scope: Scope, send: Send) -> None:
-    """Serves one call of the page."""
+async def serve_quarantine(
+    detector: CrashDetector[Any], scope: Scope, send: Send
+) -> None:
+    """Answers one HTTP request to the endpoint.
+
+    Args:
+      detector: Holds the quarantined requests.
+      scope: ASGI scope of the request.
+      send: Sends the ASGI messages of the response.
+    """
     if scope["method"] == "GET":
-        await send_json(send, 200, msgspec.to_builtins(list_quarantined(watch)))
+        await send_json(
+            send, 200, msgspec.to_builtins(list_quarantined_requests(detector))
+        )
         return
     if scope["method"] != "DELETE":
         await send_json(send, 405, {"error": "GET lists, DELETE clears one"})
         return
     query = parse_qs(scope["query_string"].decode("latin-1"))
-    named = query.get("fingerprint", [""])[0]
+    hex_digits = query.get("fingerprint", [""])[0]
     try:
-        fingerprint = Fingerprint(bytes.fromhex(named))
+        fingerprint = Fingerprint(bytes.fromhex(hex_digits))
     except ValueError:
         await send_json(send, 400, {"error": "the fingerprint is not hexadecimal"})
         return
-    cleared = watch.answered(fingerprint)
-    _log.warning("An operator clears a request.", fingerprint=named, cleared=cleared)
+    cleared = detector.clear(fingerprint)
+    _log.warning(
+        "An operator asked to clear a quarantined request.",
+        fingerprint=hex_digits,
+        cleared=cleared,
+    )
     await send_json(send, 200 if cleared else 404, {"cleared": cleared})
