--- a/src/coppercleat/routing/__init__.py
+++ b/src/coppercleat/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Decides which upstream takes a request."""
+"""Load balancing: chooses the upstream of each request."""
 
 from coppercleat.routing._choose import (
     ONLINE_RECENT_S,
--- a/src/coppercleat/routing/_choose.py
+++ b/src/coppercleat/routing/_choose.py
@@ -1,8 +1,10 @@
-"""Chooses an upstream by expected load, residency, affinity and zone.
+"""Chooses an upstream by load, loaded version, prefix affinity and zone.
 
-Joining the shortest of a few sampled queues is from Mitzenmacher, "The Power
-of Two Choices in Randomized Load Balancing" (2001); bounded prefix affinity
-follows consistent hashing with bounded loads (Mirrokni et al., 2018).
+Sampling a few upstreams and taking the least loaded follows Mitzenmacher, "The
+Power of Two Choices in Randomized Load Balancing" (2001). Bounded prefix
+affinity follows Mirrokni et al., "Consistent Hashing with Bounded Loads" (2018).
+
+All costs are in concurrent sequences on an upstream.
 """
 
 from __future__ import annotations
@@ -17,35 +19,35 @@
 from coppercleat.routing._rendezvous import owner, ranked
 from coppercleat.routing._table import UpstreamRecord
 
-_SAMPLES = 4
-_SAMPLE_ALL = 16
-_OTHER_ZONE_LOAD = 0.5
-_OTHER_REGION_LOAD = 20.0
-_DISTURB_LOAD = 2.0
-_RANK_LOAD = 0.05
+_SAMPLE_SIZE = 4
+_MAX_UNSAMPLED = 16
+_CROSS_ZONE_COST = 0.5
+_CROSS_REGION_COST = 20.0
+_BATCH_PREEMPTION_COST = 2.0
+_RANK_COST = 0.05
 ONLINE_RECENT_S = 2.0
-"""Seconds for which a runner that had online requests is kept light of batch."""
-
-_AFFINITY_LOAD = 2.0
-_AFFINITY_BOUND = 1.25
-_BATCH_LOAD = 0.5
-_REPORT_TRUST_S = 2.0
-_SLOW_START_S = 5.0
-_SLOW_START_LOAD = 8.0
+"""Seconds after its last online request for which an upstream gets little batch."""
+
+_AFFINITY_DISCOUNT = 2.0
+_AFFINITY_LOAD_FACTOR = 1.25
+_BATCH_REQUEST_LOAD = 0.5
+_REPORT_MAX_AGE_S = 2.0
+_SLOW_START_WINDOW_S = 5.0
+_SLOW_START_COST = 8.0
 _PREFIX_CHARS = 256
 
 
 class Wanted(msgspec.Struct, kw_only=True):
-    """What a request needs.
+    """What a request needs of an upstream.
 
     Attributes:
-      service: The model service or plain service, as listed.
-      version: The version that must be loaded; empty for a plain service.
-      prompt: For prefix affinity; empty for none.
-      tried: Upstreams that already failed this request.
-      batch_active: Whether batch runs in the fleet. Then requests gather on
-        runners that had some lately, which are kept light of batch, and spill
-        over in an order that all instances share; otherwise they spread.
+      service: Name of the model service or plain service.
+      version: Version that must be loaded; empty for a plain service.
+      prompt: Prompt for prefix affinity; empty for none.
+      tried: Upstreams that have already failed this request.
+      batch_active: Whether batch jobs run in the fleet. If so, online requests
+        are packed onto the upstreams with recent online requests, and overflow
+        in an order that all instances share; otherwise they are spread.
     """
 
     service: str
@@ -56,18 +58,23 @@
 
 
 class Choice(msgspec.Struct, frozen=True):
-    """The upstream chosen, with the reason in words."""
+    """The chosen upstream.
+
+    Attributes:
+      record: The upstream.
+      reason: Human-readable explanation for the log.
+    """
 
     record: UpstreamRecord
     reason: str
 
 
 class NoUpstream(msgspec.Struct, frozen=True):
-    """Sentinel: no upstream can take the request.
+    """No upstream can take the request.
 
     Attributes:
-      reason: Why, in words.
-      retry_in_s: Seconds until one may.
+      reason: Human-readable explanation, part of the error sent to the client.
+      retry_in_s: Seconds until an upstream may be available.
     """
 
     reason: str
@@ -75,23 +82,25 @@
 
 
 def expected_load(record: UpstreamRecord, now: float) -> float:
-    """Returns how many sequences a new one would run beside.
+    """Returns the expected number of concurrent sequences on an upstream.
 
-    One's own requests in flight and those peers told of are known now; what
-    the lagged report adds to them counts less as it ages.
+    Requests of this instance and of its peers count in full. Other sequences are
+    known only from the upstream's load report and count less as it ages.
     """
-    known = record.online + record.peer_online + _BATCH_LOAD * record.batch
+    known = record.online + record.peer_online + _BATCH_REQUEST_LOAD * record.batch
     if record.report is None:
         return known
     age = now - record.reported_at
-    trust = max(0.0, 1.0 - age / _REPORT_TRUST_S)
+    weight = max(0.0, 1.0 - age / _REPORT_MAX_AGE_S)
     reported = record.report.running + 2 * record.report.waiting
-    unseen = max(0.0, reported - record.online - record.batch - record.peer_online)
-    return known + trust * unseen * _BATCH_LOAD
+    unattributed = max(
+        0.0, reported - record.online - record.batch - record.peer_online
+    )
+    return known + weight * unattributed * _BATCH_REQUEST_LOAD
 
 
 def choose(
-    wanted: Wanted,
+    request: Wanted,
     records: Iterable[UpstreamRecord],
     *,
     zone: ZoneId,
@@ -101,97 +110,111 @@
     """Chooses an upstream.
 
     Args:
-      wanted: What the request needs.
-      records: All upstreams known.
-      zone: This instance's availability zone.
-      now: Seconds on this instance's clock.
-      rng: Source of randomness for the samples.
+      request: What the request needs of an upstream.
+      records: All known upstreams.
+      zone: Availability zone of this instance.
+      now: Monotonic time in seconds.
+      rng: Random source for sampling.
 
     Returns:
-      The choice, or why there is none.
+      The upstream, or the reason why none can take the request.
     """
-    serving = [r for r in records if r.node.service == wanted.service]
+    serving = [r for r in records if r.node.service == request.service]
     if not serving:
-        return NoUpstream(f"no upstream serves {wanted.service}", 1.0)
-    staying = [r for r in serving if not r.leaving and r.upstream not in wanted.tried]
-    loaded = [r for r in staying if not wanted.version or r.serves(wanted.version)]
-    # Reports lag: a version that none reports may just have been loaded, and an
-    # engine without it refuses the request as not run.
-    loaded = loaded or staying
+        return NoUpstream(f"no upstream serves {request.service}", 1.0)
+    available = [
+        r for r in serving if not r.leaving and r.upstream not in request.tried
+    ]
+    loaded = [r for r in available if not request.version or r.serves(request.version)]
+    # A version missing from all reports may have been loaded since; an engine
+    # without it refuses the request before running it.
+    loaded = loaded or available
     if not loaded:
-        return NoUpstream(f"all upstreams of {wanted.service} leave or failed", 1.0)
+        return NoUpstream(f"all upstreams of {request.service} leave or failed", 1.0)
     healthy = [r for r in loaded if r.health.may_try(now)]
     if not healthy:
         wait = min(r.health.retry_in(now) for r in loaded)
-        return NoUpstream(f"all upstreams of {wanted.service} are ejected", wait)
-    return _cheapest(wanted, healthy, zone=zone, now=now, rng=rng)
+        return NoUpstream(f"all upstreams of {request.service} are ejected", wait)
+    return _lowest_cost(request, healthy, zone=zone, now=now, rng=rng)
 
 
-def _cheapest(
-    wanted: Wanted,
+def _lowest_cost(
+    request: Wanted,
     healthy: list[UpstreamRecord],
     *,
     zone: ZoneId,
     now: float,
     rng: random.Random,
 ) -> Choice:
-    """Returns the cheapest of the own zone, a few samples and the affine."""
+    """Returns the candidate of the lowest cost.
+
+    Candidates are a random sample, the upstream of the prompt's prefix and, while
+    batch is active, the first upstreams in rendezvous order.
+    """
     local = [r for r in healthy if r.zone == zone] or healthy
-    affine = _affine(wanted, local, now)
-    sampled = _sample(healthy, local, rng)
-    if affine is not None and affine not in sampled:
-        sampled.append(affine)
+    affine = _prefix_affine(request, local, now)
+    candidates = _sample(healthy, local, rng)
+    if affine is not None and affine not in candidates:
+        candidates.append(affine)
     order: list[str] = []
-    if wanted.batch_active:
-        order = ranked(wanted.service, [r.upstream for r in healthy])
-        first = {r.upstream: r for r in healthy}
-        sampled += [
-            first[UpstreamId(name)]
-            for name in order[:_SAMPLES]
-            if first[UpstreamId(name)] not in sampled
+    if request.batch_active:
+        order = ranked(request.service, [r.upstream for r in healthy])
+        by_id = {r.upstream: r for r in healthy}
+        candidates += [
+            by_id[UpstreamId(name)]
+            for name in order[:_SAMPLE_SIZE]
+            if by_id[UpstreamId(name)] not in candidates
         ]
     region = local[0].node.region
     costs = {}
-    for record in sampled:
+    for record in candidates:
         cost = _cost(record, zone=zone, region=region, affine=affine, now=now)
         if order:
-            cost += _disturbance(record, order, now)
+            cost += _preemption_cost(record, order, now)
         costs[record.upstream] = cost
-    best = min(sampled, key=lambda r: costs[r.upstream])
-    return Choice(best, f"cost {costs[best.upstream]:.1f} of {len(sampled)} sampled")
+    best = min(candidates, key=lambda r: costs[r.upstream])
+    return Choice(best, f"cost {costs[best.upstream]:.1f} of {len(candidates)} sampled")
 
 
 def _sample(
     healthy: list[UpstreamRecord], local: list[UpstreamRecord], rng: random.Random
 ) -> list[UpstreamRecord]:
-    """Returns all of a few upstreams in random order, or some of very many."""
-    if len(healthy) <= _SAMPLE_ALL:
+    """Returns all upstreams of a small fleet in random order, or a sample.
+
+    A sample holds up to ``_SAMPLE_SIZE`` upstreams of the local zone and as many
+    others.
+    """
+    if len(healthy) <= _MAX_UNSAMPLED:
         return rng.sample(healthy, len(healthy))
-    sampled = rng.sample(local, min(_SAMPLES, len(local)))
+    sampled = rng.sample(local, min(_SAMPLE_SIZE, len(local)))
     others = [record for record in healthy if record not in sampled]
-    return sampled + rng.sample(others, min(_SAMPLES, len(others)))
+    return sampled + rng.sample(others, min(_SAMPLE_SIZE, len(others)))
 
 
-def _disturbance(record: UpstreamRecord, order: list[str], now: float) -> float:
-    """Returns the price of waiting for batch to let go of a runner."""
-    rank = _RANK_LOAD * order.index(record.upstream)
+def _preemption_cost(record: UpstreamRecord, order: list[str], now: float) -> float:
+    """Returns the cost of preempting batch items on an upstream.
+
+    The rank breaks ties in the same order on all instances, so that they pack
+    online requests onto the same upstreams.
+    """
+    rank = _RANK_COST * order.index(record.upstream)
     recent = now - record.online_at < ONLINE_RECENT_S
-    return rank if recent else rank + _DISTURB_LOAD
+    return rank if recent else rank + _BATCH_PREEMPTION_COST
 
 
-def _affine(
-    wanted: Wanted, records: list[UpstreamRecord], now: float
+def _prefix_affine(
+    request: Wanted, records: list[UpstreamRecord], now: float
 ) -> UpstreamRecord | None:
-    """Returns the upstream that should hold the prefix, unless it is loaded."""
-    if len(wanted.prompt) < _PREFIX_CHARS:
+    """Returns the upstream likely to have the prefix cached, unless overloaded."""
+    if len(request.prompt) < _PREFIX_CHARS:
         return None
     by_id = {r.upstream: r for r in records}
-    chosen = owner(wanted.prompt[:_PREFIX_CHARS], by_id)
+    chosen = owner(request.prompt[:_PREFIX_CHARS], by_id)
     if chosen is None:
         return None
     record = by_id[UpstreamId(chosen)]
     mean = sum(expected_load(r, now) for r in records) / len(records)
-    if expected_load(record, now) > _AFFINITY_BOUND * mean + 1:
+    if expected_load(record, now) > _AFFINITY_LOAD_FACTOR * mean + 1:
         return None
     return record
 
@@ -204,17 +227,20 @@
     affine: UpstreamRecord | None,
     now: float,
 ) -> float:
-    """Returns the expected load with the price of what makes it worse."""
+    """Returns the expected load plus penalties, minus the affinity discount."""
     cost = expected_load(record, now)
     if record.zone != zone:
-        cost += _OTHER_ZONE_LOAD
+        cost += _CROSS_ZONE_COST
     if record.node.region != region:
-        cost += _OTHER_REGION_LOAD
+        cost += _CROSS_REGION_COST
     if record is affine:
-        cost -= _AFFINITY_LOAD
+        cost -= _AFFINITY_DISCOUNT
     age = now - record.first_seen
-    if age < _SLOW_START_S:
-        cost += _SLOW_START_LOAD * (1 - age / _SLOW_START_S) * bool(record.online)
+    # Slow start: a new upstream with requests in flight costs extra at first.
+    if age < _SLOW_START_WINDOW_S:
+        cost += (
+            _SLOW_START_COST * (1 - age / _SLOW_START_WINDOW_S) * bool(record.online)
+        )
     return cost
 
 
--- a/src/coppercleat/routing/_feeders.py
+++ b/src/coppercleat/routing/_feeders.py
@@ -1,4 +1,4 @@
-"""Which instance feeds batch to which upstream, and what runs online there."""
+"""Assigns batch dispatchers to upstreams and tracks online load of peers."""
 
 from __future__ import annotations
 
@@ -13,45 +13,53 @@
     upstreams: Iterable[tuple[UpstreamId, ZoneId]],
     alive: Iterable[tuple[InstanceId, ZoneId]],
 ) -> dict[UpstreamId, InstanceId]:
-    """Assigns to each upstream the one instance that feeds batch to it.
+    """Assigns to each upstream the one instance that dispatches batch items to it.
 
-    An upstream goes to an instance of its own zone if any lives there, to the
-    highest by rendezvous hashing that has room; room is an even share. Two
-    instances that differ about who lives may both feed an upstream for a
-    moment, which costs batch speed and nothing else.
+    Instances of the upstream's zone are preferred; without any, all instances
+    share its upstreams. Rendezvous hashing, bounded by an even share for each
+    instance, keeps the assignment stable as membership changes. Instances with
+    different views of the membership may dispatch to one upstream at the same
+    time, which only lowers batch throughput.
 
     Args:
       upstreams: Upstreams with their zones.
-      alive: Living instances with their zones.
+      alive: Live instances with their zones.
 
     Returns:
-      The feeder of each upstream; empty if no instance lives.
+      The batch dispatcher of each upstream; empty if no instance is alive.
     """
-    by_zone: dict[ZoneId, list[InstanceId]] = {}
+    instances_by_zone: dict[ZoneId, list[InstanceId]] = {}
     for instance, zone in alive:
-        by_zone.setdefault(zone, []).append(instance)
-    everybody = [instance for group in by_zone.values() for instance in group]
-    if not everybody:
+        instances_by_zone.setdefault(zone, []).append(instance)
+    all_instances = [
+        instance for members in instances_by_zone.values() for instance in members
+    ]
+    if not all_instances:
         return {}
-    wanted: dict[ZoneId, list[UpstreamId]] = {}
+    # The empty zone collects upstreams whose zone has no live instance.
+    upstreams_by_zone: dict[ZoneId, list[UpstreamId]] = {}
     for upstream, zone in upstreams:
-        wanted.setdefault(zone if zone in by_zone else ZoneId(""), []).append(upstream)
+        upstreams_by_zone.setdefault(
+            zone if zone in instances_by_zone else ZoneId(""), []
+        ).append(upstream)
     assigned: dict[UpstreamId, InstanceId] = {}
-    for zone, group in wanted.items():
-        assigned.update(_assign_evenly(group, by_zone.get(zone, everybody)))
+    for zone, members in upstreams_by_zone.items():
+        assigned.update(
+            _assign_evenly(members, instances_by_zone.get(zone, all_instances))
+        )
     return assigned
 
 
 def _assign_evenly(
     upstreams: list[UpstreamId], instances: list[InstanceId]
 ) -> dict[UpstreamId, InstanceId]:
-    room = math.ceil(len(upstreams) / len(instances))
+    capacity = math.ceil(len(upstreams) / len(instances))
     load = dict.fromkeys(instances, 0)
     assigned = {}
     for upstream in sorted(upstreams):
         for name in ranked(upstream, instances):
             instance = InstanceId(name)
-            if load[instance] < room:
+            if load[instance] < capacity:
                 load[instance] += 1
                 assigned[upstream] = instance
                 break
@@ -59,7 +67,7 @@
 
 
 class PeerArrivals:
-    """Online requests that each peer has in flight on each upstream."""
+    """Online requests in flight on each upstream, as reported by each peer."""
 
     def __init__(self) -> None:
         self._counts: dict[InstanceId, dict[UpstreamId, int]] = {}
@@ -67,9 +75,10 @@
     def observe(
         self, peer: InstanceId, in_flight: Iterable[tuple[UpstreamId, int]]
     ) -> list[UpstreamId]:
-        """Takes a peer's counts; returns the upstreams whose count changed.
+        """Records a peer's counts; returns the upstreams whose count changed.
 
-        Counts are absolute, so that a lost or repeated message does no harm.
+        Counts are absolute rather than increments, so that lost and duplicate
+        messages are harmless.
         """
         before = self._counts.setdefault(peer, {})
         changed = []
@@ -84,13 +93,13 @@
         return changed
 
     def forget(self, peer: InstanceId) -> list[UpstreamId]:
-        """Drops a dead peer's counts; returns the upstreams it had."""
+        """Drops the counts of a dead peer; returns the upstreams they were for."""
         return list(self._counts.pop(peer, {}))
 
     def peers(self) -> list[InstanceId]:
-        """Returns the peers that have told anything."""
+        """Returns the peers that have reported counts."""
         return list(self._counts)
 
     def total(self, upstream: UpstreamId) -> int:
-        """Returns the sum over all peers."""
+        """Returns the online requests in flight on an upstream, over all peers."""
         return sum(counts.get(upstream, 0) for counts in self._counts.values())
--- a/src/coppercleat/routing/_health.py
+++ b/src/coppercleat/routing/_health.py
@@ -1,16 +1,16 @@
-"""Ejects an upstream that fails, and lets it return by single trials."""
+"""Circuit breaker that ejects a failing upstream from load balancing."""
 
 from __future__ import annotations
 
 import enum
 
 _FAILURES_TO_EJECT = 3
-_FIRST_EJECTION_S = 1.0
-_LONGEST_EJECTION_S = 30.0
+_MIN_EJECTION_S = 1.0
+_MAX_EJECTION_S = 30.0
 
 
 class HealthState(enum.Enum):
-    """Whether an upstream may be tried."""
+    """State of a circuit breaker."""
 
     CLOSED = "closed"
     OPEN = "open"
@@ -18,85 +18,95 @@
 
 
 class Health:
-    """A circuit breaker for one upstream; the time is passed in.
+    """Circuit breaker of one upstream.
+
+    Closed lets all requests through, open lets none through, and half open lets
+    one probe request through at a time. Each ejection in a row lasts twice as
+    long as the one before, up to ``longest_s``.
 
     Attributes:
-      state: Closed lets all through, open none, half open one at a time.
-      failures: Failures in a row.
-      successes: Answers ever.
-      longest_s: Longest pause between two trials.
+      state: Current state.
+      consecutive_failures: Failures since the last success.
+      successes: Successful requests since creation.
+      longest_s: Longest ejection in seconds.
     """
 
     __slots__ = (
-        "_ejections",
-        "_trial_running",
-        "_until",
-        "failures",
+        "_consecutive_ejections",
+        "_probe_in_flight",
+        "_retry_at",
+        "consecutive_failures",
         "longest_s",
         "state",
         "successes",
     )
 
-    def __init__(self, *, longest_s: float = _LONGEST_EJECTION_S) -> None:
+    def __init__(self, *, longest_s: float = _MAX_EJECTION_S) -> None:
         self.longest_s = longest_s
         self.state = HealthState.CLOSED
-        self.failures = 0
+        self.consecutive_failures = 0
         self.successes = 0
-        self._ejections = 0
-        self._until = 0.0
-        self._trial_running = False
+        self._consecutive_ejections = 0
+        self._retry_at = 0.0
+        self._probe_in_flight = False
 
     def may_try(self, now: float) -> bool:
-        """Returns whether a request may be sent."""
-        if self.state is HealthState.OPEN and now >= self._until:
+        """Returns whether a request may be sent.
+
+        An open breaker becomes half open once the ejection is over.
+        """
+        if self.state is HealthState.OPEN and now >= self._retry_at:
             self.state = HealthState.HALF_OPEN
-            self._trial_running = False
+            self._probe_in_flight = False
         if self.state is HealthState.HALF_OPEN:
-            return not self._trial_running
+            return not self._probe_in_flight
         return self.state is HealthState.CLOSED
 
     def started(self) -> None:
-        """Notes that a request was sent."""
+        """Records that a request was sent."""
         if self.state is HealthState.HALF_OPEN:
-            self._trial_running = True
+            self._probe_in_flight = True
 
     def succeeded(self) -> None:
-        """Notes an answer; the upstream is well again."""
+        """Records a successful request and closes the circuit."""
         self.state = HealthState.CLOSED
-        self.failures = 0
+        self.consecutive_failures = 0
         self.successes += 1
-        self._ejections = 0
-        self._trial_running = False
+        self._consecutive_ejections = 0
+        self._probe_in_flight = False
 
     def abandoned(self) -> None:
-        """Notes that a request ended without telling anything."""
-        self._trial_running = False
+        """Records a request that ended without showing the upstream's health."""
+        self._probe_in_flight = False
 
     def failed(self, now: float) -> None:
-        """Notes a failure; several in a row, or a failed trial, eject.
+        """Records a failed request.
 
-        What was sent before an ejection, or past it, begins no new pause.
+        A failed probe or several failures in a row open the circuit. A failure while
+        the circuit is open does not prolong the ejection.
         """
-        self.failures += 1
-        trial = self.state is HealthState.HALF_OPEN
-        closed = self.state is HealthState.CLOSED
-        if trial or (closed and self.failures >= _FAILURES_TO_EJECT):
+        self.consecutive_failures += 1
+        probing = self.state is HealthState.HALF_OPEN
+        was_closed = self.state is HealthState.CLOSED
+        if probing or (was_closed and self.consecutive_failures >= _FAILURES_TO_EJECT):
             self._eject(now)
 
     def unreachable(self, now: float) -> None:
-        """Notes that no connection could be made, which ejects at once."""
-        self.failures += 1
+        """Records a failed connection, which opens the circuit at once."""
+        self.consecutive_failures += 1
         self._eject(now)
 
     def _eject(self, now: float) -> None:
-        pause = min(self.longest_s, _FIRST_EJECTION_S * 2**self._ejections)
-        self._ejections += 1
-        self._until = now + pause
+        ejection_s = min(
+            self.longest_s, _MIN_EJECTION_S * 2**self._consecutive_ejections
+        )
+        self._consecutive_ejections += 1
+        self._retry_at = now + ejection_s
         self.state = HealthState.OPEN
-        self._trial_running = False
+        self._probe_in_flight = False
 
     def retry_in(self, now: float) -> float:
-        """Returns seconds until a trial is let through."""
+        """Returns the seconds until a probe request may be sent, 0 if not open."""
         if self.state is HealthState.OPEN:
-            return max(0.0, self._until - now)
+            return max(0.0, self._retry_at - now)
         return 0.0
--- a/src/coppercleat/routing/_rendezvous.py
+++ b/src/coppercleat/routing/_rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: every instance ranks the same nodes the same way."""
+"""Rendezvous hashing: all instances rank the same nodes in the same order."""
 
 from __future__ import annotations
 
@@ -12,10 +12,13 @@
 
 
 def ranked(key: str, nodes: Iterable[str]) -> list[str]:
-    """Returns nodes by falling weight for a key; ties go by name."""
+    """Returns the nodes by descending weight for a key.
+
+    Equal weights are ordered by node name.
+    """
     return sorted(nodes, key=lambda node: (-_weight(key, node), node))
 
 
 def owner(key: str, nodes: Iterable[str]) -> str | None:
-    """Returns the node of the highest weight, or None without nodes."""
+    """Returns the node of the highest weight for a key, or None without nodes."""
     return max(nodes, key=lambda node: (_weight(key, node), node), default=None)
--- a/src/coppercleat/routing/_subset.py
+++ b/src/coppercleat/routing/_subset.py
@@ -1,4 +1,8 @@
-"""Chooses which upstreams an instance follows when there are very many."""
+"""Deterministic subsetting: limits how many upstreams an instance tracks.
+
+See "Load Balancing in the Datacenter" in Beyer et al., "Site Reliability
+Engineering" (2016).
+"""
 
 from __future__ import annotations
 
@@ -8,8 +12,8 @@
 from coppercleat.routing._rendezvous import ranked
 from coppercleat.storage import Node
 
-FOLLOWED_LOCAL = 48
-FOLLOWED_REMOTE = 16
+MAX_LOCAL_UPSTREAMS = 48
+MAX_REMOTE_UPSTREAMS = 16
 
 
 def subset(
@@ -19,24 +23,24 @@
     *,
     fed: frozenset[str] = frozenset(),
 ) -> list[Node]:
-    """Returns the upstreams to follow: all of a small fleet, else a share.
+    """Returns the upstreams that an instance tracks.
 
-    Each service gets its own share, the same at each call, and a different one
-    for each instance, so that every upstream is followed by several instances.
+    Limits hold per service, so a small fleet is tracked whole. Rendezvous hashing
+    gives each instance a stable subset that differs from those of its peers.
 
     Args:
-      instance: Who asks.
-      zone: Its availability zone.
-      nodes: All upstreams listed.
-      fed: Ids of upstreams that this instance feeds; always followed.
+      instance: The instance.
+      zone: Availability zone of the instance.
+      nodes: All listed upstreams.
+      fed: Ids of upstreams that are tracked regardless of the limits.
     """
     chosen: list[Node] = []
     for service in sorted({node.service for node in nodes}):
         serving = {node.id: node for node in nodes if node.service == service}
         local = [i for i, node in serving.items() if node.zone == zone]
         remote = [i for i, node in serving.items() if node.zone != zone]
-        wanted = set(ranked(instance, local)[:FOLLOWED_LOCAL])
-        wanted.update(ranked(instance, remote)[:FOLLOWED_REMOTE])
-        wanted.update(fed & serving.keys())
-        chosen += [serving[i] for i in sorted(wanted)]
+        selected = set(ranked(instance, local)[:MAX_LOCAL_UPSTREAMS])
+        selected.update(ranked(instance, remote)[:MAX_REMOTE_UPSTREAMS])
+        selected.update(fed & serving.keys())
+        chosen += [serving[i] for i in sorted(selected)]
     return chosen
--- a/src/coppercleat/routing/_table.py
+++ b/src/coppercleat/routing/_table.py
@@ -1,4 +1,4 @@
-"""What this instance knows of each upstream."""
+"""Routing table: the state of each upstream that this instance tracks."""
 
 from __future__ import annotations
 
@@ -11,27 +11,31 @@
 from coppercleat.storage import Node, NodeRole, NodeState
 from coppercleat.upstreams import LoadReport
 
-_LEAVING = "leaving"
+_REPORTED_DRAINING = "leaving"
 
 
 @attrs.define(kw_only=True, eq=False)
 class UpstreamRecord:
-    """One upstream as this instance sees it.
+    """State of one upstream.
+
+    Times are monotonic seconds of this instance; counts are of its own requests
+    unless stated otherwise.
 
     Attributes:
-      node: Its line of the platform's list.
-      report: Its own last report, None before the first.
-      reported_at: When the report came, on this instance's clock.
-      first_seen: When the upstream was first listed, for slow start.
-      online: Online requests of this instance in flight.
-      batch: Batch items of this instance in flight.
-      peer_online: Online requests in flight that peers have told of.
-      online_at: When an online request, of any instance, was last known there.
-      sent_since_report: Online requests sent since the last report.
-      leaving: Set by the first sign that it leaves; never taken back while
-        the same upstream is listed.
-      token_s: Smoothed seconds between tokens.
-      first_token_s: Smoothed seconds to the first token.
+      node: Entry of the upstream in the platform's node list.
+      first_seen: When the upstream was first listed; begins its slow start.
+      report: Last load report of the upstream, None before the first.
+      reported_at: When the last load report was received.
+      online: Online requests in flight.
+      batch: Batch items in flight.
+      peer_online: Online requests of peers in flight, as reported by them.
+      online_at: When an online request of any instance was last in flight.
+      sent_since_report: Online requests sent since the last load report.
+      leaving: Whether the upstream shuts down and must get no new requests; never
+        reset while the upstream stays listed at its address.
+      token_s: Smoothed time between tokens in seconds.
+      first_token_s: Smoothed time to the first token in seconds.
+      health: Circuit breaker of the upstream.
     """
 
     node: Node
@@ -50,61 +54,61 @@
 
     @property
     def id(self) -> UpstreamId:
-        """The upstream's id."""
+        """Same as ``upstream``; for ``quarantine.Watched``."""
         return UpstreamId(self.node.id)
 
     @property
     def born_ms(self) -> int:
-        """Which life it is is unknown: the list does not tell."""
+        """Always 0: the node list does not tell when an upstream started."""
         return 0
 
     @property
     def unlisted(self) -> bool:
-        """Whether it is no longer listed; its last record does not tell."""
+        """Always False: a removed record keeps its last list entry."""
         return False
 
     @property
     def stopping(self) -> bool:
-        """Whether it leaves as planned."""
+        """Whether the upstream shuts down as planned."""
         return self.leaving
 
     @property
     def restarted(self) -> bool:
-        """Whether it is another life than before: the list does not tell."""
+        """Always False: the node list does not show restarts."""
         return False
 
     def was_steady(self, *, began: float, at: float) -> bool:
-        """Whether it had lived for a while: it counts as steady, always."""
+        """Returns True: the node list does not show the uptime of an upstream."""
         return True
 
     @property
     def upstream(self) -> UpstreamId:
-        """The upstream's id."""
+        """Id of the upstream."""
         return UpstreamId(self.node.id)
 
     @property
     def zone(self) -> ZoneId:
-        """The upstream's availability zone."""
+        """Availability zone of the upstream."""
         return ZoneId(self.node.zone)
 
     def observe_report(self, report: LoadReport, now: float) -> None:
-        """Takes the upstream's own report."""
+        """Records a load report of the upstream."""
         self.report = report
         self.reported_at = now
         self.sent_since_report = 0
-        if report.state == _LEAVING:
+        if report.state == _REPORTED_DRAINING:
             self.leaving = True
 
     def serves(self, version: str) -> bool:
-        """Whether the version is loaded, as far as is known."""
+        """Returns whether a version is loaded; True before the first load report."""
         return self.report is None or version in self.report.versions
 
 
 class RoutingTable:
-    """All upstreams that this instance follows.
+    """All upstreams that this instance tracks.
 
     Attributes:
-      records: By upstream id.
+      records: State of each upstream by its id.
     """
 
     def __init__(self) -> None:
@@ -114,29 +118,35 @@
         return iter(self.records.values())
 
     def get(self, upstream: UpstreamId) -> UpstreamRecord | None:
-        """Returns the record of an upstream, if it is known."""
+        """Returns the record of an upstream, None if it is not tracked."""
         return self.records.get(upstream)
 
     def observe_list(
         self, nodes: Iterable[Node], now: float
     ) -> tuple[list[UpstreamRecord], list[UpstreamRecord]]:
-        """Takes the platform's list, which lags.
+        """Updates the table from the platform's node list.
+
+        An upstream listed at another address gets a new record.
+
+        Args:
+          nodes: Entries of the list, which may be out of date.
+          now: Monotonic time in seconds.
 
         Returns:
-          The records that are new and those that are gone.
+          The records that were added and those that were removed.
         """
         listed = {
             UpstreamId(node.id): node
             for node in nodes
             if node.role is not NodeRole.ENTRY
         }
-        gone = [
+        removed = [
             record
             for upstream, record in self.records.items()
             if listed.get(upstream) is None
             or listed[upstream].address != record.node.address
         ]
-        for record in gone:
+        for record in removed:
             del self.records[record.upstream]
         added: list[UpstreamRecord] = []
         for upstream, node in listed.items():
@@ -146,10 +156,14 @@
             record = self.records[upstream]
             record.node = node
             record.leaving = record.leaving or node.state is NodeState.LEAVING
-        return added, gone
+        return added, removed
 
     def mark_leaving(self, upstream: UpstreamId) -> bool:
-        """Takes a sign that an upstream leaves; returns whether it is news."""
+        """Marks an upstream as draining.
+
+        Returns:
+          Whether the upstream is tracked and was not draining before.
+        """
         record = self.records.get(upstream)
         if record is None or record.leaving:
             return False
