--- a/src/coppercleat/limits/__init__.py
+++ b/src/coppercleat/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Decides what is let in: rates, concurrency, deadlines and retries."""
+"""Admission control, rate limits for client accounts, and retry budgets."""
 
 from coppercleat.limits._admission import Admission, Admitted, Refusal, Request
 from coppercleat.limits._retries import RetryBudget
--- a/src/coppercleat/limits/_admission.py
+++ b/src/coppercleat/limits/_admission.py
@@ -1,19 +1,19 @@
-"""Admits a request only if it can probably meet its deadline."""
+"""Admission control: refuses requests that would probably miss their deadline."""
 
 from __future__ import annotations
 
 import msgspec
 
-_TOLERANCE = 1.2
-_LONGEST_RETRY_S = 30.0
-_SHORTEST_RETRY_S = 0.05
+_DEADLINE_TOLERANCE = 1.2
+_MAX_RETRY_S = 30.0
+_MIN_RETRY_S = 0.05
 
 
 class Request(msgspec.Struct, frozen=True, kw_only=True):
-    """What admission needs to know of a request.
+    """What admission control needs to know of a request.
 
     Attributes:
-      tokens: Tokens asked for.
+      tokens: Maximum number of tokens to generate.
       allowed_s: Seconds left until the deadline.
     """
 
@@ -22,15 +22,15 @@
 
 
 class Admitted(msgspec.Struct, frozen=True):
-    """Sentinel: the request may go on."""
+    """The request is admitted."""
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """Sentinel: the request is refused at the door and was not run.
+    """The request is refused and was not run.
 
     Attributes:
-      reason: Why, in words.
-      retry_in_s: Seconds until it may be admitted.
+      reason: Human-readable explanation, part of the error sent to the client.
+      retry_in_s: Seconds until the request may be admitted.
     """
 
     reason: str
@@ -38,11 +38,11 @@
 
 
 class Admission:
-    """Bounds requests in flight, and refuses those that would be late.
+    """Bounds the requests in flight and refuses those that would miss the deadline.
 
     Attributes:
-      max_in_flight: Requests in flight at once in this instance.
-      in_flight: Requests in flight now.
+      max_in_flight: Maximum number of requests in flight in this instance.
+      in_flight: Requests in flight now; updated by the caller.
     """
 
     def __init__(self, *, max_in_flight: int) -> None:
@@ -52,23 +52,23 @@
     def decide(
         self, request: Request, *, first_token_s: float, token_s: float
     ) -> Admitted | Refusal:
-        """Decides on a request.
+        """Decides whether to admit a request.
 
         Args:
-          request: What is asked.
-          first_token_s: Expected seconds to the first token, 0 if unknown.
-          token_s: Expected seconds between tokens, 0 if unknown.
+          request: The request.
+          first_token_s: Expected time to the first token in seconds, 0 if unknown.
+          token_s: Expected time between tokens in seconds, 0 if unknown.
         """
         if self.in_flight >= self.max_in_flight:
-            return Refusal("this instance is full", _SHORTEST_RETRY_S)
-        expected = first_token_s + token_s * max(0, request.tokens - 1)
+            return Refusal("this instance is full", _MIN_RETRY_S)
+        total_s = first_token_s + token_s * max(0, request.tokens - 1)
         if request.allowed_s <= 0:
             return Refusal("the deadline has passed", 0.0)
-        if expected <= request.allowed_s * _TOLERANCE:
+        if total_s <= request.allowed_s * _DEADLINE_TOLERANCE:
             return Admitted()
-        late_by = expected - request.allowed_s
-        retry = min(_LONGEST_RETRY_S, max(_SHORTEST_RETRY_S, late_by))
+        late_by_s = total_s - request.allowed_s
+        retry_s = min(_MAX_RETRY_S, max(_MIN_RETRY_S, late_by_s))
         return Refusal(
-            f"it would take {expected:.1f} s of the {request.allowed_s:.1f} s allowed",
-            retry,
+            f"it would take {total_s:.1f} s of the {request.allowed_s:.1f} s allowed",
+            retry_s,
         )
--- a/src/coppercleat/limits/_tenants.py
+++ b/src/coppercleat/limits/_tenants.py
@@ -1,9 +1,9 @@
-"""Rates and concurrency of each tenant, shared among the live instances.
+"""Limits the rate and concurrency of each client account (tenant).
 
-Each instance grants its share of the fleet's limit: the limit divided by the
-number of live instances, times a slack for uneven balancing. There is no
-central counter; the sum over all instances exceeds the limit by the slack at
-most.
+There is no central counter. Each instance enforces its share of the fleet-wide
+limit: the limit divided by the number of live instances, times a slack for uneven
+load balancing. An instance's share of the concurrency is at least one request, so
+the fleet exceeds a limit that is smaller than its number of instances.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 
 @attrs.define(kw_only=True)
 class TenantLimits:
-    """A tenant's limits over the whole fleet; 0 means no limit.
+    """Fleet-wide limits of a tenant; 0 means no limit.
 
     Attributes:
-      rate: Online requests a second.
+      rate: Online requests per second.
       concurrency: Online requests in flight.
     """
 
@@ -39,7 +39,7 @@
 
 
 class TenantLimiter:
-    """Grants or refuses requests tenant by tenant."""
+    """Enforces this instance's share of the limits of each tenant."""
 
     def __init__(self) -> None:
         self._usage: dict[TenantId, _Usage] = {}
@@ -47,13 +47,13 @@
     def enter(
         self, tenant: TenantId, limits: TenantLimits, *, instances: int, now: float
     ) -> Admitted | Refusal:
-        """Counts a request in, if the tenant's share allows it.
+        """Admits a request of a tenant or refuses it.
 
         Args:
-          tenant: Whose request it is.
-          limits: The tenant's limits over the whole fleet.
-          instances: How many instances live.
-          now: Seconds on this instance's clock.
+          tenant: The tenant.
+          limits: Fleet-wide limits of the tenant.
+          instances: Number of live instances.
+          now: Monotonic time in seconds.
         """
         share = min(1.0, SHARE_SLACK / max(1, instances))
         usage = self._usage.setdefault(tenant, _Usage(None))
@@ -61,21 +61,21 @@
             1.0, limits.concurrency * share
         ):
             return Refusal("the tenant's concurrency is used up", _CONCURRENCY_RETRY_S)
-        wait = self._take(usage, limits.rate * share, now)
+        wait = self._take_token(usage, limits.rate * share, now)
         if wait > 0:
             return Refusal("the tenant's rate is used up", wait)
         usage.in_flight += 1
         return Admitted()
 
     def leave(self, tenant: TenantId) -> None:
-        """Counts a request out; forgets a tenant without any."""
+        """Records that an admitted request has ended."""
         usage = self._usage[tenant]
         usage.in_flight -= 1
         if not usage.in_flight and usage.bucket is None:
             del self._usage[tenant]
 
     @staticmethod
-    def _take(usage: _Usage, rate: float, now: float) -> float:
+    def _take_token(usage: _Usage, rate: float, now: float) -> float:
         if rate <= 0:
             usage.bucket = None
             return 0.0
--- a/src/coppercleat/limits/_token_bucket.py
+++ b/src/coppercleat/limits/_token_bucket.py
@@ -1,31 +1,35 @@
-"""A token bucket with the clock passed in."""
+"""Token bucket whose time is passed in."""
 
 from __future__ import annotations
 
 
 class TokenBucket:
-    """Holds up to ``burst`` tokens and gains ``rate`` a second.
+    """Token bucket, full at the start.
 
     Attributes:
-      rate: Tokens gained each second.
-      burst: Tokens held at most.
+      rate: Tokens added per second.
+      burst: Maximum number of tokens in the bucket.
     """
 
-    __slots__ = ("_at", "_tokens", "burst", "rate")
+    __slots__ = ("_refilled_at", "_tokens", "burst", "rate")
 
     def __init__(self, *, rate: float, burst: float, now: float) -> None:
         self.rate = rate
         self.burst = burst
         self._tokens = burst
-        self._at = now
+        self._refilled_at = now
 
     def take(self, now: float, count: float = 1.0) -> float:
-        """Takes tokens if there are enough.
+        """Takes tokens if the bucket holds enough of them.
+
+        Args:
+          now: Monotonic time in seconds.
+          count: Number of tokens.
 
         Returns:
-          0.0 if taken, else the seconds until there will be enough.
+          0.0 if taken, else the seconds until the bucket will hold enough.
         """
-        self._gain(now)
+        self._refill(now)
         if self._tokens >= count:
             self._tokens -= count
             return 0.0
@@ -34,10 +38,10 @@
         return (count - self._tokens) / self.rate
 
     def give(self, count: float) -> None:
-        """Adds tokens beyond those gained by time."""
+        """Adds tokens besides those added over time, up to the burst."""
         self._tokens = min(self.burst, self._tokens + count)
 
-    def _gain(self, now: float) -> None:
-        elapsed = max(0.0, now - self._at)
-        self._at = now
+    def _refill(self, now: float) -> None:
+        elapsed = max(0.0, now - self._refilled_at)
+        self._refilled_at = now
         self._tokens = min(self.burst, self._tokens + elapsed * self.rate)
