--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -30,11 +30,11 @@
     Opened,
 )
 from coppercleat.routing import (
+    RoutingRequest,
     RoutingTable,
     UpstreamRecord,
-    Wanted,
-    assign_feeders,
-    choose,
+    assign_batch_dispatchers,
+    choose_upstream,
 )
 from coppercleat.storage import Node, NodeRole
 from coppercleat.upstreams import EventParser, LoadReport, UpstreamClient
@@ -151,12 +151,12 @@
         for index in range(count):
             record = _record(index)
             table.records[record.upstream] = record
-        wanted = Wanted(service="cocina-llm", version="v1", prompt="x" * 400)
+        wanted = RoutingRequest(service="cocina-llm", version="v1", prompt="x" * 400)
         points.append(
             (
                 count,
                 _microseconds(
-                    lambda t=table, w=wanted: choose(
+                    lambda t=table, w=wanted: choose_upstream(
                         w, t, zone=ZoneId("zone-1"), now=1.0, rng=rng
                     )
                 ),
@@ -174,7 +174,7 @@
     points = []
     for count in (147, 294, 588):
         upstreams = [(UpstreamId(f"u{i}"), zone) for i in range(count)]
-        cost = _microseconds(lambda u=upstreams: assign_feeders(u, alive))
+        cost = _microseconds(lambda u=upstreams: assign_batch_dispatchers(u, alive))
         points.append((count, cost / 1e3))
     slope("assign_feeders_ms_per_upstream_of_a_zone", "ms", points)
 
--- a/src/coppercleat/batch/_feed.py
+++ b/src/coppercleat/batch/_feed.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from coppercleat.routing import ONLINE_RECENT_S
+from coppercleat.routing import ONLINE_ACTIVITY_WINDOW_S
 
 _FIRST_LIMIT = 8
 _GROWTH_S = 0.05
@@ -112,4 +112,4 @@
     is soon over. Costs batch speed for a shorter online tail.
     """
 
-    light_s = ONLINE_RECENT_S
+    light_s = ONLINE_ACTIVITY_WINDOW_S
--- a/src/coppercleat/batch/_feeding.py
+++ b/src/coppercleat/batch/_feeding.py
@@ -20,7 +20,7 @@
     UpstreamUnavailableError,
 )
 from coppercleat.ids import UpstreamId
-from coppercleat.routing import HealthState, UpstreamRecord
+from coppercleat.routing import CircuitState, UpstreamRecord
 from coppercleat.upstreams import Attempt, EngineRequest
 
 _TICK_S = 0.05
@@ -121,11 +121,11 @@
             if feed.retired or now < feed.paused_until or self.state.results_full:
                 continue
             limit = self._limit(feed, now)
-            health = feed.record.health
-            if health.state is HealthState.HALF_OPEN:
+            breaker = feed.record.breaker
+            if breaker.state is CircuitState.HALF_OPEN:
                 limit = min(limit, 1)
             while len(feed.running) < limit and self._start_next(feed):
-                health.started()
+                breaker.started()
 
     def _refresh_feeds(self) -> None:
         records = {record.upstream: record for record in self.state.fleet.fed()}
@@ -214,8 +214,8 @@
     def _lost(self, feed: _Feed, work: ItemWork, error: tuple[str, str]) -> None:
         """Notes an attempt without an answer, and lets the upstream rest."""
         now = trio.current_time()
-        work.lost(feed.record.health, error)
-        feed.record.health.failed(now)
+        work.lost(feed.record.breaker, error)
+        feed.record.breaker.failed(now)
         feed.paused_until = now + _UPSTREAM_PAUSE_S
 
     async def _execute(
@@ -253,13 +253,13 @@
             return None
         except UpstreamUnavailableError:
             work.attempts -= 1
-            feed.record.health.failed(trio.current_time())
+            feed.record.breaker.failed(trio.current_time())
             return None
         except UpstreamRefusedError:
             work.attempts -= 1
             feed.paused_until = trio.current_time() + _UPSTREAM_PAUSE_S
             return None
-        feed.record.health.succeeded()
+        feed.record.breaker.succeeded()
         return _answered(work)
 
     def _finish(self, segment: SegmentWork, work: ItemWork, result: ItemResult) -> None:
--- a/src/coppercleat/batch/_work.py
+++ b/src/coppercleat/batch/_work.py
@@ -10,7 +10,7 @@
 
 from coppercleat.batch._items import Item, ItemResult
 from coppercleat.batch._segments import HeldSegment
-from coppercleat.routing import Health
+from coppercleat.routing import CircuitBreaker
 
 _MAX_LOST_ATTEMPTS = 10
 
@@ -19,7 +19,7 @@
 class _Suspicion:
     """An attempt that was lost on an upstream, which may be to blame itself."""
 
-    health: Health
+    breaker: CircuitBreaker
     successes: int
 
 
@@ -46,9 +46,9 @@
     last_error: tuple[str, str] = ("", "")
     suspicions: list[_Suspicion] = attrs.field(factory=list)
 
-    def lost(self, health: Health, error: tuple[str, str]) -> None:
+    def lost(self, breaker: CircuitBreaker, error: tuple[str, str]) -> None:
         """Notes an attempt that ended without an answer."""
-        self.suspicions.append(_Suspicion(health, health.successes))
+        self.suspicions.append(_Suspicion(breaker, breaker.successes))
         self.last_error = error
 
     def refused(self, error: tuple[str, str]) -> None:
@@ -62,7 +62,7 @@
         Args:
           max_attempts: Failures that may be laid to the item.
         """
-        laid = sum(s.health.successes > s.successes for s in self.suspicions)
+        laid = sum(s.breaker.successes > s.successes for s in self.suspicions)
         lost = len(self.suspicions)
         return self.refusals + laid >= max_attempts or lost >= _MAX_LOST_ATTEMPTS
 
--- a/src/coppercleat/gateway/_gateway.py
+++ b/src/coppercleat/gateway/_gateway.py
@@ -23,7 +23,7 @@
     ToldEnd,
     shown,
 )
-from coppercleat.routing import ranked
+from coppercleat.routing import rendezvous_order
 from coppercleat.serving import (
     Admission,
     AdmissionQueue,
@@ -209,7 +209,7 @@
     def _ranked(self, fingerprint: Fingerprint) -> list[str]:
         """Returns all living instances, in an order that they agree on."""
         living = [self.settings.instance, *self.peers.others()]
-        return ranked(shown(fingerprint), living)
+        return rendezvous_order(shown(fingerprint), living)
 
     def _tries(self, fingerprint: Fingerprint, overdue_s: float) -> bool:
         """Returns whether a trial of a request falls to this instance.
--- a/src/coppercleat/instance/_fleet.py
+++ b/src/coppercleat/instance/_fleet.py
@@ -13,12 +13,12 @@
 from coppercleat.membership import Detector
 from coppercleat.observability import part_logger
 from coppercleat.routing import (
-    PeerArrivals,
+    PeerOnlineCounts,
     RoutingTable,
     UpstreamRecord,
-    assign_feeders,
-    owner,
-    subset,
+    assign_batch_dispatchers,
+    rendezvous_owner,
+    select_subset,
 )
 from coppercleat.settings import Settings
 from coppercleat.storage import Node, NodeRole, Platform, paced
@@ -71,7 +71,7 @@
         self.table = RoutingTable()
         self.nodes: tuple[Node, ...] = ()
         self.list_read = False
-        self.arrivals = PeerArrivals()
+        self.arrivals = PeerOnlineCounts()
         self._online: dict[UpstreamId, UpstreamClient] = {}
         self._batch: dict[UpstreamId, UpstreamClient] = {}
         self._pollers: dict[UpstreamId, trio.CancelScope] = {}
@@ -117,7 +117,9 @@
         upstreams = [node for node in nodes if node.role is not NodeRole.ENTRY]
         instance = self.settings.instance
         fed = self._fed_ids()
-        return subset(instance.instance_id, instance.zone_id, upstreams, fed=fed)
+        return select_subset(
+            instance.instance_id, instance.zone_id, upstreams, always_tracked=fed
+        )
 
     def _open(self, record: UpstreamRecord) -> None:
         timeout = self.settings.online.connect_timeout_s
@@ -150,14 +152,14 @@
                 now = trio.current_time()
                 if report is not None:
                     missing = 0
-                    was_leaving = record.leaving
+                    was_leaving = record.draining
                     record.observe_report(report, now)
-                    if record.leaving and not was_leaving:
+                    if record.draining and not was_leaving:
                         self.on_leaving(record.upstream)
                 else:
                     missing += 1
                     if missing >= _MISSING_REPORTS:
-                        record.health.failed(now)
+                        record.breaker.failed(now)
                 pause = self.settings.online.load_poll_s
                 if not self._feeds(record):
                     pause *= _OTHERS_POLL_FACTOR
@@ -172,9 +174,9 @@
             record
             for record in self.table
             if record.node.role is NodeRole.ENGINE
-            and not record.leaving
+            and not record.draining
             and self._feeds(record)
-            and record.health.may_try(now)
+            and record.breaker.allows_request(now)
         ]
 
     def online_total(self, upstream: UpstreamId) -> int:
@@ -190,7 +192,7 @@
             return
         record.peer_online = self.arrivals.total(upstream)
         if record.online or record.peer_online:
-            record.online_at = trio.current_time()
+            record.last_online_at = trio.current_time()
 
     def holder_state(self, holder: InstanceId, incarnation: int) -> HolderState:
         """Returns what is known of a segment's holder."""
@@ -217,7 +219,7 @@
             for record in self.table
             if record.node.role is NodeRole.ENGINE
             and record.node.service == service
-            and not record.leaving
+            and not record.draining
         ]
 
     def record(self, upstream: UpstreamId) -> UpstreamRecord | None:
@@ -226,7 +228,7 @@
 
     def is_steward(self, job: JobId) -> bool:
         """Returns whether this instance watches over a job's due time."""
-        return owner(job, self.alive()) == self.settings.instance.id
+        return rendezvous_owner(job, self.alive()) == self.settings.instance.id
 
     def feeder_of(self, record: UpstreamRecord) -> InstanceId | None:
         """Returns the instance that feeds batch to an upstream."""
@@ -258,7 +260,7 @@
                 for node in nodes
                 if node.role is NodeRole.ENGINE and node.zone == zone
             ]
-            self._assigned[zone] = assign_feeders(engines, alive)
+            self._assigned[zone] = assign_batch_dispatchers(engines, alive)
         return self._assigned[zone]
 
     def _fed_ids(self) -> frozenset[str]:
--- a/src/coppercleat/instance/_instance.py
+++ b/src/coppercleat/instance/_instance.py
@@ -14,10 +14,10 @@
 from coppercleat.instance._fleet import Fleet
 from coppercleat.instance._keeper import ConfigurationKeeper
 from coppercleat.instance._peers import Peers
-from coppercleat.limits import Admission, RetryBudget, TenantLimiter
+from coppercleat.limits import AdmissionController, RetryBudget, TenantLimiter
 from coppercleat.membership import Detector, MemberLine
 from coppercleat.observability import EventRing, Metrics, part_logger
-from coppercleat.online import AnswerStore, OnlineServices, Pipeline, pick_version
+from coppercleat.online import IdempotencyStore, OnlineServices, Pipeline, pick_version
 from coppercleat.orders import OrderKeeper
 from coppercleat.platform import StoreClient
 from coppercleat.quarantine import (
@@ -27,7 +27,7 @@
     Fingerprint,
     shown,
 )
-from coppercleat.routing import UpstreamRecord, ranked
+from coppercleat.routing import UpstreamRecord, rendezvous_order
 from coppercleat.settings import Settings
 from coppercleat.storage import Platform
 
@@ -152,10 +152,10 @@
             clients=self.fleet,
             zone=self.settings.instance.zone_id,
             rng=self.rng,
-            admission=Admission(max_in_flight=online.max_in_flight),
+            admission=AdmissionController(max_in_flight=online.max_in_flight),
             tenants=TenantLimiter(),
             retries=RetryBudget(ratio=online.retry_ratio, now=0.0),
-            answers=AnswerStore(self.platform),
+            idempotency=IdempotencyStore(self.platform),
             metrics=self.metrics,
             live_instances=self.live_instances,
             online_changed=self._online_changed,
@@ -177,7 +177,7 @@
         The first in line may not be asked for it, so the next ones step in.
         """
         own = self.settings.instance.instance_id
-        place = ranked(shown(fingerprint), self.fleet.alive()).index(own)
+        place = rendezvous_order(shown(fingerprint), self.fleet.alive()).index(own)
         return overdue_s >= place * TRIAL_STAGGER_S
 
     def _spread_changes(self, changes: list[Change]) -> None:
--- a/src/coppercleat/instance/_peers.py
+++ b/src/coppercleat/instance/_peers.py
@@ -255,7 +255,7 @@
 
     @_handlers.handles(UpstreamLeaving)
     def _on_leaving(self, sender: InstanceId, message: UpstreamLeaving) -> None:
-        if self.fleet.table.mark_leaving(message.upstream):
+        if self.fleet.table.mark_draining(message.upstream):
             self.spread_leaving(message.upstream)
 
     @_handlers.handles(EndsSeen)
--- a/src/coppercleat/jobs/_items.py
+++ b/src/coppercleat/jobs/_items.py
@@ -226,7 +226,7 @@
         run.start(item, state.id)
         self._running.append(running)
         state.batch += 1
-        state.health.started()
+        state.breaker.started()
         self.on_change(state, True)
         return running
 
@@ -296,7 +296,7 @@
             yield
         finally:
             running.state.batch -= 1
-            running.state.health.abandoned()
+            running.state.breaker.abandoned()
             self._running.remove(running)
             self.on_change(running.state, False)
 
--- a/src/coppercleat/jobs/_sweep.py
+++ b/src/coppercleat/jobs/_sweep.py
@@ -12,7 +12,7 @@
 from coppercleat.jobs._records import QuotaRow, job_key, quota_key
 from coppercleat.jobs._repository import Held
 from coppercleat.observability import part_logger
-from coppercleat.routing import ranked
+from coppercleat.routing import rendezvous_order
 from coppercleat.storage import (
     Check,
     Platform,
@@ -78,7 +78,7 @@
         row = held.row
         if row.open or self.clock() < row.accepted_at + self.keep_s + KEEP_MARGIN_S:
             return False
-        return ranked(row.job, self.living())[0] == self.owner
+        return rendezvous_order(row.job, self.living())[0] == self.owner
 
     async def _sweep_logged(self, held: Held) -> None:
         try:
--- a/src/coppercleat/jobs/_worker.py
+++ b/src/coppercleat/jobs/_worker.py
@@ -22,7 +22,7 @@
 from coppercleat.jobs._starter import JOBS_STALE_S, ItemStarter
 from coppercleat.jobs._still_jobs import StillJobs
 from coppercleat.observability import part_logger
-from coppercleat.routing import ranked
+from coppercleat.routing import rendezvous_order
 from coppercleat.serving import ItemEvents, RouteTable, Waiting
 
 KEEP_EVERY_S = 1.5
@@ -218,7 +218,7 @@
                 self._orphans.pop(job, None)
             else:
                 since = self._orphans.setdefault(job, now)
-                place = ranked(job, self.living()).index(self.owner)
+                place = rendezvous_order(job, self.living()).index(self.owner)
                 if now - since >= place * _TAKE_STAGGER_S:
                     self._taking.add(job)
                     assert self._nursery is not None
@@ -284,7 +284,7 @@
             return False
         if held.row.owner == self.owner:
             return True
-        return ranked(held.row.job, self.living())[0] == self.owner
+        return rendezvous_order(held.row.job, self.living())[0] == self.owner
 
     async def _wait_for_handover(self, job: JobId) -> None:
         """Waits a moment for what the owner before had made, if it can be heard."""
--- a/src/coppercleat/limits/__init__.py
+++ b/src/coppercleat/limits/__init__.py
@@ -1,15 +1,20 @@
 """Admission control, rate limits for client accounts, and retry budgets."""
 
-from coppercleat.limits._admission import Admission, Admitted, Refusal, Request
+from coppercleat.limits._admission import (
+    AdmissionController,
+    AdmissionRequest,
+    Admitted,
+    Refusal,
+)
 from coppercleat.limits._retries import RetryBudget
 from coppercleat.limits._tenants import TenantLimiter, TenantLimits
 from coppercleat.limits._token_bucket import TokenBucket
 
 __all__ = [
-    "Admission",
+    "AdmissionController",
     "Admitted",
     "Refusal",
-    "Request",
+    "AdmissionRequest",
     "RetryBudget",
     "TenantLimiter",
     "TenantLimits",
--- a/src/coppercleat/limits/_admission.py
+++ b/src/coppercleat/limits/_admission.py
@@ -9,16 +9,16 @@
 _MIN_RETRY_S = 0.05
 
 
-class Request(msgspec.Struct, frozen=True, kw_only=True):
+class AdmissionRequest(msgspec.Struct, frozen=True, kw_only=True):
     """What admission control needs to know of a request.
 
     Attributes:
       tokens: Maximum number of tokens to generate.
-      allowed_s: Seconds left until the deadline.
+      remaining_s: Seconds left until the deadline.
     """
 
     tokens: int
-    allowed_s: float
+    remaining_s: float
 
 
 class Admitted(msgspec.Struct, frozen=True):
@@ -30,14 +30,14 @@
 
     Attributes:
       reason: Human-readable explanation, part of the error sent to the client.
-      retry_in_s: Seconds until the request may be admitted.
+      retry_after_s: Seconds until the request may be admitted.
     """
 
     reason: str
-    retry_in_s: float
+    retry_after_s: float
 
 
-class Admission:
+class AdmissionController:
     """Bounds the requests in flight and refuses those that would miss the deadline.
 
     Attributes:
@@ -50,25 +50,25 @@
         self.in_flight = 0
 
     def decide(
-        self, request: Request, *, first_token_s: float, token_s: float
+        self, request: AdmissionRequest, *, first_token_s: float, inter_token_s: float
     ) -> Admitted | Refusal:
         """Decides whether to admit a request.
 
         Args:
           request: The request.
           first_token_s: Expected time to the first token in seconds, 0 if unknown.
-          token_s: Expected time between tokens in seconds, 0 if unknown.
+          inter_token_s: Expected time between tokens in seconds, 0 if unknown.
         """
         if self.in_flight >= self.max_in_flight:
             return Refusal("this instance is full", _MIN_RETRY_S)
-        total_s = first_token_s + token_s * max(0, request.tokens - 1)
-        if request.allowed_s <= 0:
+        total_s = first_token_s + inter_token_s * max(0, request.tokens - 1)
+        if request.remaining_s <= 0:
             return Refusal("the deadline has passed", 0.0)
-        if total_s <= request.allowed_s * _DEADLINE_TOLERANCE:
+        if total_s <= request.remaining_s * _DEADLINE_TOLERANCE:
             return Admitted()
-        late_by_s = total_s - request.allowed_s
+        late_by_s = total_s - request.remaining_s
         retry_s = min(_MAX_RETRY_S, max(_MIN_RETRY_S, late_by_s))
         return Refusal(
-            f"it would take {total_s:.1f} s of the {request.allowed_s:.1f} s allowed",
+            f"it would take {total_s:.1f} s of the {request.remaining_s:.1f} s allowed",
             retry_s,
         )
--- a/src/coppercleat/limits/_retries.py
+++ b/src/coppercleat/limits/_retries.py
@@ -24,7 +24,7 @@
             rate=_MIN_RETRIES_PER_S, burst=_MAX_SAVED_RETRIES, now=now
         )
 
-    def first_attempt(self) -> None:
+    def record_first_attempt(self) -> None:
         """Counts a first attempt."""
         self._bucket.give(self.ratio)
 
--- a/src/coppercleat/limits/_tenants.py
+++ b/src/coppercleat/limits/_tenants.py
@@ -44,7 +44,7 @@
     def __init__(self) -> None:
         self._usage: dict[TenantId, _Usage] = {}
 
-    def enter(
+    def try_acquire(
         self, tenant: TenantId, limits: TenantLimits, *, instances: int, now: float
     ) -> Admitted | Refusal:
         """Admits a request of a tenant or refuses it.
@@ -67,7 +67,7 @@
         usage.in_flight += 1
         return Admitted()
 
-    def leave(self, tenant: TenantId) -> None:
+    def release(self, tenant: TenantId) -> None:
         """Records that an admitted request has ended."""
         usage = self._usage[tenant]
         usage.in_flight -= 1
--- a/src/coppercleat/online/_claims.py
+++ b/src/coppercleat/online/_claims.py
@@ -41,7 +41,7 @@
     ANSWERED = "answered"
 
 
-class StoredAnswer(msgspec.Struct, kw_only=True):
+class IdempotencyRecord(msgspec.Struct, kw_only=True):
     """The row of a keyed request."""
 
     request_id: RequestId
@@ -52,7 +52,7 @@
     body: bytes = b""
 
 
-class AnswerStore:
+class IdempotencyStore:
     """Claims keys and stores answers on the platform."""
 
     def __init__(self, platform: Platform) -> None:
@@ -61,7 +61,7 @@
 
     async def claim(
         self, tenant: TenantId, key: str, request_id: RequestId, content: bytes
-    ) -> StoredAnswer | None:
+    ) -> IdempotencyRecord | None:
         """Claims a key, or finds what an earlier request left.
 
         Returns:
@@ -72,7 +72,9 @@
           ConflictError: The key belongs to a request with other content.
         """
         row_key = _row_key(tenant, key)
-        mine = StoredAnswer(request_id=request_id, content_hash=content_hash(content))
+        mine = IdempotencyRecord(
+            request_id=request_id, content_hash=content_hash(content)
+        )
         transaction = Transaction(
             checks=[Check(row_key, ABSENT)],
             puts=[Put(row_key, msgspec.json.encode(mine))],
@@ -88,7 +90,7 @@
             row = (await self.platform.read([row_key])).get(row_key)
             if row is None:
                 continue
-            found = decode_row(row, StoredAnswer)
+            found = decode_row(row, IdempotencyRecord)
             if found.request_id == request_id:
                 self._versions[row_key] = row.version
                 return None
@@ -102,7 +104,7 @@
 
     async def wait(
         self, tenant: TenantId, key: str, *, deadline: float
-    ) -> StoredAnswer:
+    ) -> IdempotencyRecord:
         """Waits for the answer that another request with this key will store.
 
         Raises:
@@ -114,12 +116,14 @@
             row = (await self.platform.read([row_key])).get(row_key)
             if row is None:
                 break
-            found = decode_row(row, StoredAnswer)
+            found = decode_row(row, IdempotencyRecord)
             if found.state is ClaimState.ANSWERED:
                 return found
         raise OutcomeUnknownError(f"The request with key {key} gave no answer")
 
-    async def store(self, tenant: TenantId, key: str, answer: StoredAnswer) -> None:
+    async def store(
+        self, tenant: TenantId, key: str, answer: IdempotencyRecord
+    ) -> None:
         """Stores the answer for resends; what fails leaves the key claimed."""
         row_key = _row_key(tenant, key)
         answer.state = ClaimState.ANSWERED
--- a/src/coppercleat/online/_dispatch.py
+++ b/src/coppercleat/online/_dispatch.py
@@ -17,10 +17,21 @@
 )
 from coppercleat.ids import UpstreamId
 from coppercleat.observability import part_logger
-from coppercleat.online._exchange import Call, Chunk, Exchange, Infer
+from coppercleat.online._exchange import (
+    Chunk,
+    Exchange,
+    InferenceRequest,
+    ServiceRequest,
+)
 from coppercleat.online._services import OnlineServices
 from coppercleat.quarantine import Standing
-from coppercleat.routing import Choice, NoUpstream, UpstreamRecord, Wanted, choose
+from coppercleat.routing import (
+    NoUpstream,
+    RoutingRequest,
+    UpstreamChoice,
+    UpstreamRecord,
+    choose_upstream,
+)
 from coppercleat.upstreams import Attempt, AttemptState, EngineRequest
 
 _MAX_ATTEMPTS = 4
@@ -45,7 +56,7 @@
           OutcomeUnknownError: It may have run and must not be sent again.
           UpstreamFailedError: It ran and failed, or all attempts did.
         """
-        self.services.retries.first_attempt()
+        self.services.retries.record_first_attempt()
         tried: set[UpstreamId] = set()
         while True:
             self._require_not_barred(exchange)
@@ -79,10 +90,10 @@
             retry_after_ms=round(1000 * verdict.retry_after_s),
         )
 
-    def _choose(self, exchange: Exchange, tried: set[UpstreamId]) -> Choice:
+    def _choose(self, exchange: Exchange, tried: set[UpstreamId]) -> UpstreamChoice:
         services = self.services
-        choice = choose(
-            Wanted(
+        choice = choose_upstream(
+            RoutingRequest(
                 service=exchange.service,
                 version=exchange.version,
                 prompt=exchange.prompt,
@@ -98,7 +109,7 @@
             raise UpstreamUnavailableError(
                 f"No upstream: {choice.reason}",
                 outcome=_outcome(exchange),
-                retry_after_ms=max(50, round(1000 * choice.retry_in_s)),
+                retry_after_ms=max(50, round(1000 * choice.retry_after_s)),
             )
         _log.debug(
             "Upstream chosen.",
@@ -116,14 +127,14 @@
         exchange.sent_at = exchange.sent_at or now
         with self._count(record):
             parts = (
-                self._call(exchange, exchange.asked, record, attempt)
-                if isinstance(exchange.asked, Call)
-                else self._infer(exchange, exchange.asked, record, attempt)
+                self._call(exchange, exchange.payload, record, attempt)
+                if isinstance(exchange.payload, ServiceRequest)
+                else self._infer(exchange, exchange.payload, record, attempt)
             )
             async with contextlib.aclosing(parts) as chunks:
                 async for chunk in self._until(chunks, exchange, attempt):
                     yield chunk
-            record.health.succeeded()
+            record.breaker.succeeded()
             self.services.end_watch.note_answer(exchange)
 
     @contextlib.contextmanager
@@ -131,18 +142,18 @@
         """Counts the request in flight and notes how the upstream did."""
         record.online += 1
         record.sent_since_report += 1
-        record.health.started()
+        record.breaker.started()
         self.services.online_changed(record.upstream)
         try:
             yield
         except CoppercleatError as error:
             if _blames_upstream(error):
-                record.health.failed(trio.current_time())
+                record.breaker.failed(trio.current_time())
             else:
-                record.health.abandoned()
+                record.breaker.abandoned()
             raise
         except BaseException:
-            record.health.abandoned()
+            record.breaker.abandoned()
             raise
         finally:
             record.online -= 1
@@ -155,7 +166,7 @@
 
         No cancel scope is open across a yield.
         """
-        streams = isinstance(exchange.asked, Infer)
+        streams = isinstance(exchange.payload, InferenceRequest)
         while True:
             stalled_at = trio.current_time() + self.services.stall_s
             limit = min(exchange.deadline, stalled_at) if streams else exchange.deadline
@@ -178,12 +189,16 @@
             )
 
     async def _infer(
-        self, exchange: Exchange, asked: Infer, record: UpstreamRecord, attempt: Attempt
+        self,
+        exchange: Exchange,
+        payload: InferenceRequest,
+        record: UpstreamRecord,
+        attempt: Attempt,
     ) -> AsyncGenerator[Chunk, None]:
         request = EngineRequest(
             request_id=f"{exchange.request_id}.{exchange.attempts}",
             model=exchange.version,
-            prompt=asked.prompt,
+            prompt=payload.prompt,
             max_tokens=exchange.max_tokens,
             resume_tokens=exchange.generated,
         )
@@ -200,23 +215,29 @@
         ended = trio.current_time()
         record.first_token_s = _smooth(record.first_token_s, first - started)
         if made > 1:
-            record.token_s = _smooth(record.token_s, (ended - first) / (made - 1))
+            record.inter_token_s = _smooth(
+                record.inter_token_s, (ended - first) / (made - 1)
+            )
 
     def _pass_on(self, exchange: Exchange, texts: list[str]) -> Chunk:
         if not exchange.first_token_at:
             exchange.first_token_at = trio.current_time()
         exchange.generated += len(texts)
-        if exchange.key:
+        if exchange.idempotency_key:
             exchange.texts += texts
         return Chunk("".join(texts), exchange.generated)
 
     async def _call(
-        self, exchange: Exchange, asked: Call, record: UpstreamRecord, attempt: Attempt
+        self,
+        exchange: Exchange,
+        payload: ServiceRequest,
+        record: UpstreamRecord,
+        attempt: Attempt,
     ) -> AsyncGenerator[Chunk, None]:
         client = self.services.clients.online_client(record.upstream)
         body = await client.call(
             exchange.path,
-            asked.body,
+            payload.body,
             attempt,
             request_id=f"{exchange.request_id}.{exchange.attempts}",
         )
--- a/src/coppercleat/online/_exchange.py
+++ b/src/coppercleat/online/_exchange.py
@@ -11,7 +11,7 @@
 from coppercleat.quarantine import Fingerprint, fingerprint_of
 
 
-class Infer(msgspec.Struct, kw_only=True):
+class InferenceRequest(msgspec.Struct, kw_only=True):
     """An inference as asked."""
 
     deployment: str
@@ -20,7 +20,7 @@
     adapter: str = ""
 
 
-class Call(msgspec.Struct, kw_only=True):
+class ServiceRequest(msgspec.Struct, kw_only=True):
     """A call to a plain service as asked."""
 
     route: str
@@ -48,7 +48,7 @@
       arrived_at: On this instance's clock, in seconds.
       deadline: On the same clock.
       at_most_once: Whether it may never run twice.
-      key: The caller's key by which resends find the answer.
+      idempotency_key: The caller's key by which resends find the answer.
       service: Service that runs it, by the configuration.
       version: Version that runs it; empty for a plain service.
       path: Path of the plain service.
@@ -64,12 +64,12 @@
     """
 
     request_id: RequestId
-    asked: Infer | Call
+    payload: InferenceRequest | ServiceRequest
     arrived_at: float
     deadline: float
-    token: str = ""
+    bearer_token: str = ""
     at_most_once: bool = False
-    key: str = ""
+    idempotency_key: str = ""
 
     tenant: TenantId = TenantId("")
     service: str = ""
@@ -94,17 +94,17 @@
     @property
     def prompt(self) -> str:
         """The prompt, or nothing for a plain service."""
-        return self.asked.prompt if isinstance(self.asked, Infer) else ""
+        return self.payload.prompt if isinstance(self.payload, InferenceRequest) else ""
 
     @functools.cached_property
     def fingerprint(self) -> Fingerprint:
         """Names what it asks: the same when a client asks again."""
-        asked = self.asked
-        if isinstance(asked, Infer):
-            target = f"{asked.deployment}/{asked.adapter}/{asked.max_tokens}"
-            body = asked.prompt.encode()
+        payload = self.payload
+        if isinstance(payload, InferenceRequest):
+            target = f"{payload.deployment}/{payload.adapter}/{payload.max_tokens}"
+            body = payload.prompt.encode()
         else:
-            target, body = asked.route, asked.body
+            target, body = payload.route, payload.body
         return fingerprint_of(
             method=self.request_class,
             host="",
@@ -116,4 +116,4 @@
     @property
     def request_class(self) -> str:
         """The class that histograms are kept by."""
-        return "infer" if isinstance(self.asked, Infer) else "call"
+        return "infer" if isinstance(self.payload, InferenceRequest) else "call"
--- a/src/coppercleat/online/_filters.py
+++ b/src/coppercleat/online/_filters.py
@@ -20,10 +20,15 @@
     UnauthenticatedError,
 )
 from coppercleat.ids import TenantId
-from coppercleat.limits import Refusal, Request, TenantLimits
+from coppercleat.limits import AdmissionRequest, Refusal, TenantLimits
 from coppercleat.observability import part_logger
-from coppercleat.online._claims import ClaimState, StoredAnswer, content_hash
-from coppercleat.online._exchange import Call, Chunk, Exchange, Infer
+from coppercleat.online._claims import ClaimState, IdempotencyRecord, content_hash
+from coppercleat.online._exchange import (
+    Chunk,
+    Exchange,
+    InferenceRequest,
+    ServiceRequest,
+)
 from coppercleat.online._pipeline import online_filter
 from coppercleat.online._services import OnlineServices
 from coppercleat.routing import UpstreamRecord
@@ -88,11 +93,13 @@
     exchange: Exchange, services: OnlineServices
 ) -> AsyncIterator[None]:
     """Finds the tenant by its token; without tenants configured all may call."""
-    exchange.tenant = find_tenant(services.document.bodies(Kind.TENANT), exchange.token)
+    exchange.tenant = find_tenant(
+        services.document.bodies(Kind.TENANT), exchange.bearer_token
+    )
     yield
 
 
-def find_tenant(tenants: list[tuple[str, Tenant]], token: str) -> TenantId:
+def find_tenant(tenants: list[tuple[str, Tenant]], bearer_token: str) -> TenantId:
     """Returns the tenant whose token this is.
 
     Only digests are compared, so timing tells nothing of a token.
@@ -102,7 +109,7 @@
     """
     if not tenants:
         return ANONYMOUS
-    digest = hashlib.sha256(token.encode()).hexdigest()
+    digest = hashlib.sha256(bearer_token.encode()).hexdigest()
     for name, tenant in tenants:
         if tenant.token_sha256 == digest:
             return TenantId(name)
@@ -113,21 +120,23 @@
 @contextlib.asynccontextmanager
 async def resolve(exchange: Exchange, services: OnlineServices) -> AsyncIterator[None]:
     """Checks the request and finds what serves it."""
-    if len(exchange.key) > _MAX_KEY_CHARS:
+    if len(exchange.idempotency_key) > _MAX_KEY_CHARS:
         raise InvalidRequestError(f"idempotency_key exceeds {_MAX_KEY_CHARS} letters")
-    if exchange.key and not exchange.at_most_once:
+    if exchange.idempotency_key and not exchange.at_most_once:
         raise InvalidRequestError(
             "idempotency_key is set without at_most_once",
             remedy="Set at_most_once, or leave the key out.",
         )
-    if isinstance(exchange.asked, Call):
-        _resolve_call(exchange, exchange.asked, services)
+    if isinstance(exchange.payload, ServiceRequest):
+        _resolve_call(exchange, exchange.payload, services)
     else:
-        _resolve_infer(exchange, exchange.asked, services)
+        _resolve_infer(exchange, exchange.payload, services)
     yield
 
 
-def _resolve_call(exchange: Exchange, call: Call, services: OnlineServices) -> None:
+def _resolve_call(
+    exchange: Exchange, call: ServiceRequest, services: OnlineServices
+) -> None:
     route: Route | None = services.document.get(Kind.ROUTE, call.route)
     if route is None:
         raise NotFoundError(f"There is no route {call.route!r}")
@@ -136,7 +145,9 @@
     exchange.at_most_once = exchange.at_most_once or route.at_most_once
 
 
-def _resolve_infer(exchange: Exchange, infer: Infer, services: OnlineServices) -> None:
+def _resolve_infer(
+    exchange: Exchange, infer: InferenceRequest, services: OnlineServices
+) -> None:
     deployment: Deployment | None = services.document.get(
         Kind.DEPLOYMENT, infer.deployment
     )
@@ -185,7 +196,7 @@
     limits = TenantLimits()
     if tenant is not None:
         limits = TenantLimits(rate=tenant.rate, concurrency=tenant.concurrency)
-    decision = services.tenants.enter(
+    decision = services.tenants.try_acquire(
         exchange.tenant,
         limits,
         instances=services.live_instances(),
@@ -196,7 +207,7 @@
     try:
         yield
     finally:
-        services.tenants.leave(exchange.tenant)
+        services.tenants.release(exchange.tenant)
 
 
 @online_filter(order=50)
@@ -205,12 +216,12 @@
     """Refuses at the door what cannot meet its deadline."""
     serving = [r for r in services.table if r.node.service == exchange.service]
     decision = services.admission.decide(
-        Request(
+        AdmissionRequest(
             tokens=exchange.max_tokens,
-            allowed_s=exchange.deadline - trio.current_time(),
+            remaining_s=exchange.deadline - trio.current_time(),
         ),
         first_token_s=min((r.first_token_s for r in serving), default=0.0),
-        token_s=min((r.token_s for r in serving), default=0.0),
+        inter_token_s=min((r.inter_token_s for r in serving), default=0.0),
     )
     if isinstance(decision, Refusal):
         raise _overloaded(decision)
@@ -226,7 +237,7 @@
 def _overloaded(refusal: Refusal) -> OverloadedError:
     return OverloadedError(
         f"Refused: {refusal.reason}",
-        retry_after_ms=max(1, round(1000 * min(60.0, refusal.retry_in_s))),
+        retry_after_ms=max(1, round(1000 * min(60.0, refusal.retry_after_s))),
     )
 
 
@@ -236,34 +247,42 @@
     exchange: Exchange, services: OnlineServices
 ) -> AsyncIterator[None]:
     """Claims a key before the request may run, and stores its answer after."""
-    if not exchange.key:
+    if not exchange.idempotency_key:
         yield
         return
-    answers, tenant, key = services.answers, exchange.tenant, exchange.key
-    content = msgspec.json.encode(exchange.asked)
-    earlier = await answers.claim(tenant, key, exchange.request_id, content)
+    idempotency, tenant, idempotency_key = (
+        services.idempotency,
+        exchange.tenant,
+        exchange.idempotency_key,
+    )
+    content = msgspec.json.encode(exchange.payload)
+    earlier = await idempotency.claim(
+        tenant, idempotency_key, exchange.request_id, content
+    )
     if earlier is not None:
         if earlier.state is not ClaimState.ANSWERED:
-            earlier = await answers.wait(tenant, key, deadline=exchange.deadline)
+            earlier = await idempotency.wait(
+                tenant, idempotency_key, deadline=exchange.deadline
+            )
         exchange.stored = Chunk(earlier.text, earlier.tokens, earlier.body)
         yield
         return
     settled = False
     try:
         yield
-        await answers.store(tenant, key, _answer_of(exchange, content))
+        await idempotency.store(tenant, idempotency_key, _answer_of(exchange, content))
         settled = True
     except CoppercleatError as error:
         if error.outcome is Outcome.NOT_RUN:
-            settled = await answers.release(tenant, key)
+            settled = await idempotency.release(tenant, idempotency_key)
         raise
     finally:
         if not settled:
-            answers.keep(tenant, key)
+            idempotency.keep(tenant, idempotency_key)
 
 
-def _answer_of(exchange: Exchange, content: bytes) -> StoredAnswer:
-    return StoredAnswer(
+def _answer_of(exchange: Exchange, content: bytes) -> IdempotencyRecord:
+    return IdempotencyRecord(
         request_id=exchange.request_id,
         content_hash=content_hash(content),
         text="".join(exchange.texts),
--- a/src/coppercleat/online/_services.py
+++ b/src/coppercleat/online/_services.py
@@ -10,15 +10,15 @@
 
 from coppercleat.configuration import Document
 from coppercleat.ids import UpstreamId, ZoneId
-from coppercleat.limits import Admission, RetryBudget, TenantLimiter
+from coppercleat.limits import AdmissionController, RetryBudget, TenantLimiter
 from coppercleat.observability import Metrics
-from coppercleat.online._claims import AnswerStore
+from coppercleat.online._claims import IdempotencyStore
 from coppercleat.quarantine import EndWatch
 from coppercleat.routing import RoutingTable, UpstreamRecord
 from coppercleat.upstreams import UpstreamClient
 
 
-class Clients(Protocol):
+class ClientProvider(Protocol):
     """Gives the client of an upstream."""
 
     def online_client(self, upstream: UpstreamId) -> UpstreamClient:
@@ -40,13 +40,13 @@
 
     document: Document
     table: RoutingTable
-    clients: Clients
+    clients: ClientProvider
     zone: ZoneId
     rng: random.Random
-    admission: Admission
+    admission: AdmissionController
     tenants: TenantLimiter
     retries: RetryBudget
-    answers: AnswerStore
+    idempotency: IdempotencyStore
     metrics: Metrics
     live_instances: Callable[[], int]
     online_changed: Callable[[UpstreamId], None]
--- a/src/coppercleat/orders/_keeper.py
+++ b/src/coppercleat/orders/_keeper.py
@@ -18,7 +18,7 @@
     plan_orders,
     wanted_versions,
 )
-from coppercleat.routing import UpstreamRecord, owner
+from coppercleat.routing import UpstreamRecord, rendezvous_owner
 from coppercleat.settings import OrderSettings
 from coppercleat.storage import Platform
 from coppercleat.upstreams import OrderRefusedError, UpstreamClient
@@ -98,7 +98,7 @@
 
     async def _keep(self, service: str) -> None:
         """Does one round for a service, if it falls to this instance."""
-        chosen = owner(f"orders/{service}", self.engines.alive())
+        chosen = rendezvous_owner(f"orders/{service}", self.engines.alive())
         if chosen != self.instance:
             self.leases.pop(service, None)
             self._watches.pop(service, None)
--- a/src/coppercleat/routing/__init__.py
+++ b/src/coppercleat/routing/__init__.py
@@ -1,33 +1,33 @@
 """Load balancing: chooses the upstream of each request."""
 
 from coppercleat.routing._choose import (
-    ONLINE_RECENT_S,
-    Choice,
+    ONLINE_ACTIVITY_WINDOW_S,
     NoUpstream,
-    Wanted,
-    choose,
+    RoutingRequest,
+    UpstreamChoice,
+    choose_upstream,
     expected_load,
 )
-from coppercleat.routing._feeders import PeerArrivals, assign_feeders
-from coppercleat.routing._health import Health, HealthState
-from coppercleat.routing._rendezvous import owner, ranked
-from coppercleat.routing._subset import subset
+from coppercleat.routing._feeders import PeerOnlineCounts, assign_batch_dispatchers
+from coppercleat.routing._health import CircuitBreaker, CircuitState
+from coppercleat.routing._rendezvous import rendezvous_order, rendezvous_owner
+from coppercleat.routing._subset import select_subset
 from coppercleat.routing._table import RoutingTable, UpstreamRecord
 
 __all__ = [
-    "ONLINE_RECENT_S",
-    "Choice",
-    "Health",
-    "HealthState",
+    "ONLINE_ACTIVITY_WINDOW_S",
+    "UpstreamChoice",
+    "CircuitBreaker",
+    "CircuitState",
     "NoUpstream",
-    "PeerArrivals",
+    "PeerOnlineCounts",
     "RoutingTable",
     "UpstreamRecord",
-    "Wanted",
-    "assign_feeders",
-    "choose",
+    "RoutingRequest",
+    "assign_batch_dispatchers",
+    "choose_upstream",
     "expected_load",
-    "owner",
-    "ranked",
-    "subset",
+    "rendezvous_owner",
+    "rendezvous_order",
+    "select_subset",
 ]
--- a/src/coppercleat/routing/_choose.py
+++ b/src/coppercleat/routing/_choose.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from coppercleat.ids import UpstreamId, ZoneId
-from coppercleat.routing._rendezvous import owner, ranked
+from coppercleat.routing._rendezvous import rendezvous_order, rendezvous_owner
 from coppercleat.routing._table import UpstreamRecord
 
 _SAMPLE_SIZE = 4
@@ -25,7 +25,7 @@
 _CROSS_REGION_COST = 20.0
 _BATCH_PREEMPTION_COST = 2.0
 _RANK_COST = 0.05
-ONLINE_RECENT_S = 2.0
+ONLINE_ACTIVITY_WINDOW_S = 2.0
 """Seconds after its last online request for which an upstream gets little batch."""
 
 _AFFINITY_DISCOUNT = 2.0
@@ -37,7 +37,7 @@
 _PREFIX_CHARS = 256
 
 
-class Wanted(msgspec.Struct, kw_only=True):
+class RoutingRequest(msgspec.Struct, kw_only=True):
     """What a request needs of an upstream.
 
     Attributes:
@@ -57,7 +57,7 @@
     batch_active: bool = False
 
 
-class Choice(msgspec.Struct, frozen=True):
+class UpstreamChoice(msgspec.Struct, frozen=True):
     """The chosen upstream.
 
     Attributes:
@@ -74,11 +74,11 @@
 
     Attributes:
       reason: Human-readable explanation, part of the error sent to the client.
-      retry_in_s: Seconds until an upstream may be available.
+      retry_after_s: Seconds until an upstream may be available.
     """
 
     reason: str
-    retry_in_s: float
+    retry_after_s: float
 
 
 def expected_load(record: UpstreamRecord, now: float) -> float:
@@ -99,14 +99,14 @@
     return known + weight * unattributed * _BATCH_REQUEST_LOAD
 
 
-def choose(
-    request: Wanted,
+def choose_upstream(
+    request: RoutingRequest,
     records: Iterable[UpstreamRecord],
     *,
     zone: ZoneId,
     now: float,
     rng: random.Random,
-) -> Choice | NoUpstream:
+) -> UpstreamChoice | NoUpstream:
     """Chooses an upstream.
 
     Args:
@@ -123,7 +123,7 @@
     if not serving:
         return NoUpstream(f"no upstream serves {request.service}", 1.0)
     available = [
-        r for r in serving if not r.leaving and r.upstream not in request.tried
+        r for r in serving if not r.draining and r.upstream not in request.tried
     ]
     loaded = [r for r in available if not request.version or r.serves(request.version)]
     # A version missing from all reports may have been loaded since; an engine
@@ -131,21 +131,21 @@
     loaded = loaded or available
     if not loaded:
         return NoUpstream(f"all upstreams of {request.service} leave or failed", 1.0)
-    healthy = [r for r in loaded if r.health.may_try(now)]
+    healthy = [r for r in loaded if r.breaker.allows_request(now)]
     if not healthy:
-        wait = min(r.health.retry_in(now) for r in loaded)
+        wait = min(r.breaker.retry_after_s(now) for r in loaded)
         return NoUpstream(f"all upstreams of {request.service} are ejected", wait)
     return _lowest_cost(request, healthy, zone=zone, now=now, rng=rng)
 
 
 def _lowest_cost(
-    request: Wanted,
+    request: RoutingRequest,
     healthy: list[UpstreamRecord],
     *,
     zone: ZoneId,
     now: float,
     rng: random.Random,
-) -> Choice:
+) -> UpstreamChoice:
     """Returns the candidate of the lowest cost.
 
     Candidates are a random sample, the upstream of the prompt's prefix and, while
@@ -158,7 +158,7 @@
         candidates.append(affine)
     order: list[str] = []
     if request.batch_active:
-        order = ranked(request.service, [r.upstream for r in healthy])
+        order = rendezvous_order(request.service, [r.upstream for r in healthy])
         by_id = {r.upstream: r for r in healthy}
         candidates += [
             by_id[UpstreamId(name)]
@@ -173,7 +173,9 @@
             cost += _preemption_cost(record, order, now)
         costs[record.upstream] = cost
     best = min(candidates, key=lambda r: costs[r.upstream])
-    return Choice(best, f"cost {costs[best.upstream]:.1f} of {len(candidates)} sampled")
+    return UpstreamChoice(
+        best, f"cost {costs[best.upstream]:.1f} of {len(candidates)} sampled"
+    )
 
 
 def _sample(
@@ -198,18 +200,18 @@
     online requests onto the same upstreams.
     """
     rank = _RANK_COST * order.index(record.upstream)
-    recent = now - record.online_at < ONLINE_RECENT_S
+    recent = now - record.last_online_at < ONLINE_ACTIVITY_WINDOW_S
     return rank if recent else rank + _BATCH_PREEMPTION_COST
 
 
 def _prefix_affine(
-    request: Wanted, records: list[UpstreamRecord], now: float
+    request: RoutingRequest, records: list[UpstreamRecord], now: float
 ) -> UpstreamRecord | None:
     """Returns the upstream likely to have the prefix cached, unless overloaded."""
     if len(request.prompt) < _PREFIX_CHARS:
         return None
     by_id = {r.upstream: r for r in records}
-    chosen = owner(request.prompt[:_PREFIX_CHARS], by_id)
+    chosen = rendezvous_owner(request.prompt[:_PREFIX_CHARS], by_id)
     if chosen is None:
         return None
     record = by_id[UpstreamId(chosen)]
--- a/src/coppercleat/routing/_feeders.py
+++ b/src/coppercleat/routing/_feeders.py
@@ -6,10 +6,10 @@
 from collections.abc import Iterable
 
 from coppercleat.ids import InstanceId, UpstreamId, ZoneId
-from coppercleat.routing._rendezvous import ranked
+from coppercleat.routing._rendezvous import rendezvous_order
 
 
-def assign_feeders(
+def assign_batch_dispatchers(
     upstreams: Iterable[tuple[UpstreamId, ZoneId]],
     alive: Iterable[tuple[InstanceId, ZoneId]],
 ) -> dict[UpstreamId, InstanceId]:
@@ -57,7 +57,7 @@
     load = dict.fromkeys(instances, 0)
     assigned = {}
     for upstream in sorted(upstreams):
-        for name in ranked(upstream, instances):
+        for name in rendezvous_order(upstream, instances):
             instance = InstanceId(name)
             if load[instance] < capacity:
                 load[instance] += 1
@@ -66,7 +66,7 @@
     return assigned
 
 
-class PeerArrivals:
+class PeerOnlineCounts:
     """Online requests in flight on each upstream, as reported by each peer."""
 
     def __init__(self) -> None:
--- a/src/coppercleat/routing/_health.py
+++ b/src/coppercleat/routing/_health.py
@@ -9,7 +9,7 @@
 _MAX_EJECTION_S = 30.0
 
 
-class HealthState(enum.Enum):
+class CircuitState(enum.Enum):
     """State of a circuit breaker."""
 
     CLOSED = "closed"
@@ -17,18 +17,18 @@
     HALF_OPEN = "half_open"
 
 
-class Health:
+class CircuitBreaker:
     """Circuit breaker of one upstream.
 
     Closed lets all requests through, open lets none through, and half open lets
     one probe request through at a time. Each ejection in a row lasts twice as
-    long as the one before, up to ``longest_s``.
+    long as the one before, up to ``max_ejection_s``.
 
     Attributes:
       state: Current state.
       consecutive_failures: Failures since the last success.
       successes: Successful requests since creation.
-      longest_s: Longest ejection in seconds.
+      max_ejection_s: Longest ejection in seconds.
     """
 
     __slots__ = (
@@ -36,40 +36,40 @@
         "_probe_in_flight",
         "_retry_at",
         "consecutive_failures",
-        "longest_s",
+        "max_ejection_s",
         "state",
         "successes",
     )
 
-    def __init__(self, *, longest_s: float = _MAX_EJECTION_S) -> None:
-        self.longest_s = longest_s
-        self.state = HealthState.CLOSED
+    def __init__(self, *, max_ejection_s: float = _MAX_EJECTION_S) -> None:
+        self.max_ejection_s = max_ejection_s
+        self.state = CircuitState.CLOSED
         self.consecutive_failures = 0
         self.successes = 0
         self._consecutive_ejections = 0
         self._retry_at = 0.0
         self._probe_in_flight = False
 
-    def may_try(self, now: float) -> bool:
+    def allows_request(self, now: float) -> bool:
         """Returns whether a request may be sent.
 
         An open breaker becomes half open once the ejection is over.
         """
-        if self.state is HealthState.OPEN and now >= self._retry_at:
-            self.state = HealthState.HALF_OPEN
+        if self.state is CircuitState.OPEN and now >= self._retry_at:
+            self.state = CircuitState.HALF_OPEN
             self._probe_in_flight = False
-        if self.state is HealthState.HALF_OPEN:
+        if self.state is CircuitState.HALF_OPEN:
             return not self._probe_in_flight
-        return self.state is HealthState.CLOSED
+        return self.state is CircuitState.CLOSED
 
     def started(self) -> None:
         """Records that a request was sent."""
-        if self.state is HealthState.HALF_OPEN:
+        if self.state is CircuitState.HALF_OPEN:
             self._probe_in_flight = True
 
     def succeeded(self) -> None:
         """Records a successful request and closes the circuit."""
-        self.state = HealthState.CLOSED
+        self.state = CircuitState.CLOSED
         self.consecutive_failures = 0
         self.successes += 1
         self._consecutive_ejections = 0
@@ -86,8 +86,8 @@
         the circuit is open does not prolong the ejection.
         """
         self.consecutive_failures += 1
-        probing = self.state is HealthState.HALF_OPEN
-        was_closed = self.state is HealthState.CLOSED
+        probing = self.state is CircuitState.HALF_OPEN
+        was_closed = self.state is CircuitState.CLOSED
         if probing or (was_closed and self.consecutive_failures >= _FAILURES_TO_EJECT):
             self._eject(now)
 
@@ -98,15 +98,15 @@
 
     def _eject(self, now: float) -> None:
         ejection_s = min(
-            self.longest_s, _MIN_EJECTION_S * 2**self._consecutive_ejections
+            self.max_ejection_s, _MIN_EJECTION_S * 2**self._consecutive_ejections
         )
         self._consecutive_ejections += 1
         self._retry_at = now + ejection_s
-        self.state = HealthState.OPEN
+        self.state = CircuitState.OPEN
         self._probe_in_flight = False
 
-    def retry_in(self, now: float) -> float:
+    def retry_after_s(self, now: float) -> float:
         """Returns the seconds until a probe request may be sent, 0 if not open."""
-        if self.state is HealthState.OPEN:
+        if self.state is CircuitState.OPEN:
             return max(0.0, self._retry_at - now)
         return 0.0
--- a/src/coppercleat/routing/_table.py
+++ b/src/coppercleat/routing/_table.py
@@ -7,7 +7,7 @@
 import attrs
 
 from coppercleat.ids import UpstreamId, ZoneId
-from coppercleat.routing._health import Health
+from coppercleat.routing._health import CircuitBreaker
 from coppercleat.storage import Node, NodeRole, NodeState
 from coppercleat.upstreams import LoadReport
 
@@ -29,13 +29,13 @@
       online: Online requests in flight.
       batch: Batch items in flight.
       peer_online: Online requests of peers in flight, as reported by them.
-      online_at: When an online request of any instance was last in flight.
+      last_online_at: When an online request of any instance was last in flight.
       sent_since_report: Online requests sent since the last load report.
-      leaving: Whether the upstream shuts down and must get no new requests; never
+      draining: Whether the upstream shuts down and must get no new requests; never
         reset while the upstream stays listed at its address.
-      token_s: Smoothed time between tokens in seconds.
+      inter_token_s: Smoothed time between tokens in seconds.
       first_token_s: Smoothed time to the first token in seconds.
-      health: Circuit breaker of the upstream.
+      breaker: Circuit breaker of the upstream.
     """
 
     node: Node
@@ -45,12 +45,12 @@
     online: int = 0
     batch: int = 0
     peer_online: int = 0
-    online_at: float = float("-inf")
+    last_online_at: float = float("-inf")
     sent_since_report: int = 0
-    leaving: bool = False
-    token_s: float = 0.0
+    draining: bool = False
+    inter_token_s: float = 0.0
     first_token_s: float = 0.0
-    health: Health = attrs.field(factory=Health)
+    breaker: CircuitBreaker = attrs.field(factory=CircuitBreaker)
 
     @property
     def id(self) -> UpstreamId:
@@ -70,7 +70,7 @@
     @property
     def stopping(self) -> bool:
         """Whether the upstream shuts down as planned."""
-        return self.leaving
+        return self.draining
 
     @property
     def restarted(self) -> bool:
@@ -97,7 +97,7 @@
         self.reported_at = now
         self.sent_since_report = 0
         if report.state == _REPORTED_DRAINING:
-            self.leaving = True
+            self.draining = True
 
     def serves(self, version: str) -> bool:
         """Returns whether a version is loaded; True before the first load report."""
@@ -155,17 +155,17 @@
                 self.records[upstream] = added[-1]
             record = self.records[upstream]
             record.node = node
-            record.leaving = record.leaving or node.state is NodeState.LEAVING
+            record.draining = record.draining or node.state is NodeState.LEAVING
         return added, removed
 
-    def mark_leaving(self, upstream: UpstreamId) -> bool:
+    def mark_draining(self, upstream: UpstreamId) -> bool:
         """Marks an upstream as draining.
 
         Returns:
           Whether the upstream is tracked and was not draining before.
         """
         record = self.records.get(upstream)
-        if record is None or record.leaving:
+        if record is None or record.draining:
             return False
-        record.leaving = True
+        record.draining = True
         return True
--- a/src/coppercleat/rpc/_online.py
+++ b/src/coppercleat/rpc/_online.py
@@ -11,7 +11,7 @@
 from coppercleat.errors import InvalidRequestError
 from coppercleat.ids import RequestId, random_token
 from coppercleat.instance import Instance
-from coppercleat.online import Call, Chunk, Exchange, Infer
+from coppercleat.online import Chunk, Exchange, InferenceRequest, ServiceRequest
 from coppercleat.rpc._call import bearer_token, require_running
 from coppercleat.rpc._errors import typed_errors
 from coppercleat.v1 import online_pb
@@ -68,7 +68,9 @@
         """Passes a request to a plain service."""
         with typed_errors():
             exchange = self._exchange(
-                Call(route=request.route, body=bytes(request.body)), request, ctx
+                ServiceRequest(route=request.route, body=bytes(request.body)),
+                request,
+                ctx,
             )
             body = b"".join([chunk.body async for chunk in self._run(exchange)])
             return online_pb.CallResponse(
@@ -82,17 +84,17 @@
                 yield chunk
 
     def _infer_exchange(self, request: online_pb.InferRequest, ctx: Any) -> Exchange:
-        asked = Infer(
+        payload = InferenceRequest(
             deployment=request.deployment,
             prompt=request.prompt,
             max_tokens=request.max_tokens,
             adapter=request.adapter,
         )
-        return self._exchange(asked, request, ctx)
+        return self._exchange(payload, request, ctx)
 
     def _exchange(
         self,
-        asked: Infer | Call,
+        payload: InferenceRequest | ServiceRequest,
         request: online_pb.InferRequest | online_pb.CallRequest,
         ctx: Any,
     ) -> Exchange:
@@ -103,10 +105,10 @@
         now = trio.current_time()
         return Exchange(
             request_id=RequestId(random_token(self.instance.rng)),
-            asked=asked,
+            payload=payload,
             arrived_at=now,
             deadline=now + allowed,
-            token=bearer_token(ctx),
+            bearer_token=bearer_token(ctx),
             at_most_once=request.at_most_once,
-            key=request.idempotency_key,
+            idempotency_key=request.idempotency_key,
         )
--- a/src/coppercleat/rpc/_operator.py
+++ b/src/coppercleat/rpc/_operator.py
@@ -159,7 +159,7 @@
             operator_pb.UpstreamStatus(
                 upstream=record.upstream,
                 zone=record.zone,
-                state="leaving" if record.leaving else record.health.state.value,
+                state="leaving" if record.draining else record.breaker.state.value,
                 online_in_flight=instance.fleet.online_total(record.upstream),
                 batch_in_flight=running,
                 batch_limit=limit,
--- a/src/coppercleat/serving/_admission.py
+++ b/src/coppercleat/serving/_admission.py
@@ -92,7 +92,7 @@
         if isinstance(waiter.outcome, UpstreamState):
             state = waiter.outcome
             state.online += 1
-            state.health.started()
+            state.breaker.started()
             self.on_change(state, True)
         self._settled[waiter].set()
 
@@ -102,7 +102,7 @@
         if isinstance(waiter.outcome, UpstreamState):
             state = waiter.outcome
             state.online -= 1
-            state.health.abandoned()
+            state.breaker.abandoned()
             self.on_change(state, False)
             self.look()
         elif waiter.outcome is None:
--- a/src/coppercleat/serving/_placement.py
+++ b/src/coppercleat/serving/_placement.py
@@ -246,7 +246,7 @@
         usable = list(self._usable(service))
         unsteady = {state.id for state in usable if now < state.steady_from}
         others = (state for state in usable if state.id not in unsteady)
-        if verdict.wary or any(state.health.may_try(now) for state in others):
+        if verdict.wary or any(state.breaker.allows_request(now) for state in others):
             return unsteady
         return set()
 
@@ -316,7 +316,7 @@
             state.id: self.free_slots(state) - reserve - self._far_reserve(state)
             for state in self._usable(service)
             if state.id not in avoid
-            and state.health.may_try(now)
+            and state.breaker.allows_request(now)
             and now >= state.full_until
         }
         free = {upstream: slots for upstream, slots in free.items() if slots > 0}
@@ -368,7 +368,7 @@
     ) -> list[UpstreamState]:
         """Returns upstreams that may be tried; all of them if none may."""
         serving = [s for s in self._usable(service) if s.id not in avoid]
-        return [s for s in serving if s.health.may_try(now)] or serving
+        return [s for s in serving if s.breaker.allows_request(now)] or serving
 
     def _open_slots(self, state: UpstreamState, now: float) -> int:
         if now < state.full_until:
--- a/src/coppercleat/serving/_silence.py
+++ b/src/coppercleat/serving/_silence.py
@@ -102,7 +102,7 @@
         patience_s = gap_patience_s if heard else first_patience_s
         if now < exchange.heard_at + patience_s(exchange.route):
             return False
-        if not state.health.may_try(now):
+        if not state.breaker.allows_request(now):
             return True
         service = state.upstream.service
         return self.placement.open_slots(service, avoid=exchange.tried, now=now) > 0
--- a/src/coppercleat/serving/_upstream_state.py
+++ b/src/coppercleat/serving/_upstream_state.py
@@ -6,7 +6,7 @@
 
 from coppercleat.ids import UpstreamId
 from coppercleat.quarantine import SAME_END_S
-from coppercleat.routing import Health
+from coppercleat.routing import CircuitBreaker
 from coppercleat.serving._model import Upstream
 from coppercleat.serving._results import RecentResults
 from coppercleat.serving._silent_moments import SilentMoments
@@ -31,7 +31,7 @@
       gone: Whether it has been found to have left, before the list shows it.
       lists_since: How many lists have shown it since.
       restarted: Whether it has started again under its id, which is another state.
-      health: Ejects it while it fails throughout.
+      breaker: Ejects it while it fails throughout.
       results: Tells whether it fails a part of its requests.
       silences: When it fell silent, as far as that is held against it.
       unknown: Requests that it runs and nobody has told of, by its own report.
@@ -50,7 +50,9 @@
     """
 
     upstream: Upstream
-    health: Health = attrs.field(factory=lambda: Health(longest_s=LONGEST_EJECTION_S))
+    breaker: CircuitBreaker = attrs.field(
+        factory=lambda: CircuitBreaker(max_ejection_s=LONGEST_EJECTION_S)
+    )
     results: RecentResults = attrs.field(factory=RecentResults)
     silences: SilentMoments = attrs.field(factory=SilentMoments)
     online: int = 0
@@ -117,11 +119,11 @@
 
     def succeeded(self, now: float) -> None:
         """Notes an attempt that ended well."""
-        self.health.succeeded()
+        self.breaker.succeeded()
         self.results.observe(failed=False, now=now)
 
     def failed(self, now: float, *, reached: bool = True) -> None:
         """Notes an attempt that failed, or a connection that could not be made."""
-        note = self.health.failed if reached else self.health.unreachable
+        note = self.breaker.failed if reached else self.breaker.unreachable
         note(now)
         self.results.observe(failed=True, now=now)
--- a/tests/exploration/_models.py
+++ b/tests/exploration/_models.py
@@ -24,7 +24,7 @@
     Operation,
 )
 from coppercleat.errors import CoppercleatError
-from coppercleat.online import AnswerStore
+from coppercleat.online import IdempotencyStore
 from coppercleat.storage import Put, Transaction
 
 _JOB = "job/j"
@@ -173,7 +173,7 @@
         return [self._caller(platform, name) for name in ("r1", "r2")]
 
     async def _caller(self, platform, name):
-        found = await AnswerStore(platform).claim("t", "k", name, b"same")
+        found = await IdempotencyStore(platform).claim("t", "k", name, b"same")
         return "runs" if found is None else "waits"
 
     def check(self, actors, ended):
--- a/tests/features/steps/decision_steps.py
+++ b/tests/features/steps/decision_steps.py
@@ -24,9 +24,9 @@
 from coppercleat.configuration import Change, Document, Kind, Snapshot, decode_body
 from coppercleat.errors import CoppercleatError
 from coppercleat.limits import (
-    Admission,
+    AdmissionController,
+    AdmissionRequest,
     Admitted,
-    Request,
     RetryBudget,
     TenantLimiter,
     TenantLimits,
@@ -40,12 +40,12 @@
     MemberLine,
 )
 from coppercleat.routing import (
-    Health,
+    CircuitBreaker,
     NoUpstream,
+    RoutingRequest,
     UpstreamRecord,
-    Wanted,
-    assign_feeders,
-    choose,
+    assign_batch_dispatchers,
+    choose_upstream,
 )
 from coppercleat.settings import parse_settings
 from coppercleat.storage import Node, NodeRole
@@ -69,18 +69,18 @@
         )
         record = UpstreamRecord(node=node, first_seen=-100, online=int(online))
         record.batch = int(batch)
-        record.leaving = "L" in flags
+        record.draining = "L" in flags
         versions = ["v2"] if "N" in flags else ["v1"]
         record.observe_report(LoadReport(versions=versions), 0.0)
         for _ in range(3 * ("E" in flags)):
-            record.health.failed(0.0)
+            record.breaker.failed(0.0)
         context.records.append(record)
 
 
 @when('one is chosen in zone "{zone}" for version "{version}"')
 def choose_one(context, zone, version):
-    wanted = Wanted(service="s", version=version)
-    context.choice = choose(
+    wanted = RoutingRequest(service="s", version=version)
+    context.choice = choose_upstream(
         wanted, context.records, zone=zone, now=0.1, rng=random.Random(1)
     )
 
@@ -96,22 +96,22 @@
 
 @then("the breaker is {state} and lets {lets} through")
 def breaker(context, state, lets):
-    health, now = Health(), 0.0
+    breaker, now = CircuitBreaker(), 0.0
     for event in events_of(context):
         if event.startswith("w"):
             now += float(event[1:])
         else:
-            health.may_try(now)
+            breaker.allows_request(now)
             if event == "f":
-                health.failed(now)
+                breaker.failed(now)
             else:
-                {"s": health.succeeded, "t": health.started}[event]()
-    may = health.may_try(now)
-    assert health.state.value == state, health.state
+                {"s": breaker.succeeded, "t": breaker.started}[event]()
+    may = breaker.allows_request(now)
+    assert breaker.state.value == state, breaker.state
     assert may == (lets != "nothing")
     if lets == "one":
-        health.started()
-        assert not health.may_try(now)
+        breaker.started()
+        assert not breaker.allows_request(now)
 
 
 def events_of(context):
@@ -122,14 +122,16 @@
 @then("admission says {answer}")
 def admission(context, answer):
     row = context.active_outline
-    door = Admission(max_in_flight=10)
+    door = AdmissionController(max_in_flight=10)
     door.in_flight = int(row["in_flight"])
-    request = Request(tokens=int(row["tokens"]), allowed_s=float(row["allowed"]))
-    decision = door.decide(request, first_token_s=0.2, token_s=0.05)
+    request = AdmissionRequest(
+        tokens=int(row["tokens"]), remaining_s=float(row["allowed"])
+    )
+    decision = door.decide(request, first_token_s=0.2, inter_token_s=0.05)
     said = (
         "admitted"
         if isinstance(decision, Admitted)
-        else f"refused, retry {decision.retry_in_s + 1e-9:.1f}"
+        else f"refused, retry {decision.retry_after_s + 1e-9:.1f}"
     )
     assert said == answer, (said, decision)
 
@@ -141,7 +143,7 @@
     context.let_in = []
     for now in (0.0, 1.0):
         decisions = [
-            limiter.enter("t", limits, instances=int(row["instances"]), now=now)
+            limiter.try_acquire("t", limits, instances=int(row["instances"]), now=now)
             for _ in range(count)
         ]
         context.let_in.append(sum(isinstance(d, Admitted) for d in decisions))
@@ -158,7 +160,7 @@
     while context.budget.grant(0.0):
         pass
     for _ in range(2 * count):
-        context.budget.first_attempt()
+        context.budget.record_first_attempt()
 
 
 @then("{first:d} retries are granted at once and {second:d} after a second")
@@ -394,7 +396,7 @@
     zones = "abc"
     context.upstreams = [(f"u{i}", zones[i % 3]) for i in range(count)]
     context.alive = [(f"e{i}", zones[i % 3]) for i in range(instances)]
-    context.assigned = assign_feeders(context.upstreams, context.alive)
+    context.assigned = assign_batch_dispatchers(context.upstreams, context.alive)
 
 
 @then("no instance feeds more than {most:d}, and all in its own zone")
@@ -411,7 +413,7 @@
 def one_dies(context):
     context.before = dict(context.assigned)
     context.dead = context.alive.pop(0)
-    context.assigned = assign_feeders(context.upstreams, context.alive)
+    context.assigned = assign_batch_dispatchers(context.upstreams, context.alive)
 
 
 @then("only the upstreams of its zone change hands")
@@ -425,7 +427,7 @@
 @when("a whole zone dies")
 def zone_dies(context):
     context.alive = [(name, zone) for name, zone in context.alive if zone != "a"]
-    context.assigned = assign_feeders(context.upstreams, context.alive)
+    context.assigned = assign_batch_dispatchers(context.upstreams, context.alive)
 
 
 @then("its upstreams are fed from the other zones")
--- a/tests/features/steps/kept_at_door_steps.py
+++ b/tests/features/steps/kept_at_door_steps.py
@@ -3,14 +3,19 @@
 import random
 
 from coppercleat.limits import (
-    Admission,
+    AdmissionController,
+    AdmissionRequest,
     Admitted,
-    Request,
     RetryBudget,
     TenantLimiter,
     TenantLimits,
 )
-from coppercleat.routing import Choice, UpstreamRecord, Wanted, choose
+from coppercleat.routing import (
+    RoutingRequest,
+    UpstreamChoice,
+    UpstreamRecord,
+    choose_upstream,
+)
 from coppercleat.storage import Node, NodeRole
 from coppercleat.upstreams import LoadReport
 from tests.harness import course, first_time
@@ -31,17 +36,17 @@
 
 
 def chosen(record, now):
-    wanted = Wanted(service="menus")
+    wanted = RoutingRequest(service="menus")
     rng = random.Random(1)
-    found = choose(wanted, [record], zone="a", now=now, rng=rng)
-    return isinstance(found, Choice)
+    found = choose_upstream(wanted, [record], zone="a", now=now, rng=rng)
+    return isinstance(found, UpstreamChoice)
 
 
 @course("3 failures in a row of an engine", ONLINE)
 def engine_failures():
     record = make_record()
     for _ in range(3):
-        record.health.failed(0.0)
+        record.breaker.failed(0.0)
     return first_time(lambda now: chosen(record, now))
 
 
@@ -52,7 +57,7 @@
         at = -10 + number / 4
         # Requests come all the while, each a trial that may be due.
         chosen(record, at)
-        record.health.failed(at)
+        record.breaker.failed(at)
     return first_time(
         lambda now: chosen(record, now),
         meanwhile=lambda now: record.observe_report(LoadReport(versions=["v1"]), now),
@@ -72,7 +77,7 @@
     limiter, limits = TenantLimiter(), TenantLimits(rate=5.0)
 
     def let_in(now):
-        found = limiter.enter("account", limits, instances=63, now=now)
+        found = limiter.try_acquire("account", limits, instances=63, now=now)
         return isinstance(found, Admitted)
 
     while let_in(-1.0):
@@ -82,14 +87,16 @@
 
 @course("answers of 0.15 s a token that were the last", "one of 50 tokens")
 def slow_tokens():
-    record, door = make_record(), Admission(max_in_flight=10)
-    record.first_token_s, record.token_s = 0.2, 0.15
-    request = Request(tokens=50, allowed_s=5.0)
+    record, door = make_record(), AdmissionController(max_in_flight=10)
+    record.first_token_s, record.inter_token_s = 0.2, 0.15
+    request = AdmissionRequest(tokens=50, remaining_s=5.0)
 
     def let_in(now):
         # Only answers change these, and none comes while all are refused.
         found = door.decide(
-            request, first_token_s=record.first_token_s, token_s=record.token_s
+            request,
+            first_token_s=record.first_token_s,
+            inter_token_s=record.inter_token_s,
         )
         return isinstance(found, Admitted)
 
--- a/tests/features/steps/kept_from_running_steps.py
+++ b/tests/features/steps/kept_from_running_steps.py
@@ -93,16 +93,16 @@
 @both("a trial at the only upstream that goes on for 5 s", "x")
 def long_trial(placement):
     eject(placement)
-    health = placement.states[X].health
+    breaker = placement.states[X].breaker
     trial = []
 
     def meanwhile(now):
-        if not trial and health.may_try(now):
-            health.started()
+        if not trial and breaker.allows_request(now):
+            breaker.started()
             trial.append(now + 5.0)
         if trial and now >= trial[0]:
             trial[0] = float("inf")
-            health.abandoned()
+            breaker.abandoned()
 
     return meanwhile
 
@@ -210,9 +210,9 @@
         if now >= tries[0]:
             tries.pop(0)
             state = placement.choose_online("menus", tried=(), now=now)
-            state.health.started()
+            state.breaker.started()
             state.failed(now)
-            state.health.abandoned()
+            state.breaker.abandoned()
 
     return first_time(lambda now: item_may_go(placement, now), meanwhile=meanwhile)
 
--- a/tests/features/steps/kept_jobs_steps.py
+++ b/tests/features/steps/kept_jobs_steps.py
@@ -5,7 +5,7 @@
 from coppercleat.gateway import JobAnswer
 from coppercleat.ids import InstanceId, JobId, UpstreamId
 from coppercleat.jobs import JobIndex
-from coppercleat.routing import ranked
+from coppercleat.routing import rendezvous_order
 from coppercleat.serving import (
     Rank,
     Waiting,
@@ -184,10 +184,10 @@
 @job_course("an acceptance where the last of 6 in line may start", ITEM, instances=6)
 async def last_in_line(play, nursery):
     owners = {one.worker.owner: one.worker for one in play.instances}
-    for owner in ranked(JobId("job"), list(owners))[:-1]:
+    for owner in rendezvous_order(JobId("job"), list(owners))[:-1]:
         owners[owner].holds_lease = lambda: False
     began = trio.current_time()
-    first = owners[ranked(JobId("job"), list(owners))[0]]
+    first = owners[rendezvous_order(JobId("job"), list(owners))[0]]
     await play.submit(1, number=list(owners.values()).index(first))
     return await play.until_run("job-0", began)
 
--- a/tests/features/steps/link_steps.py
+++ b/tests/features/steps/link_steps.py
@@ -17,7 +17,7 @@
     MemberLine,
 )
 from coppercleat.observability import Metrics
-from coppercleat.routing import PeerArrivals
+from coppercleat.routing import PeerOnlineCounts
 from coppercleat.serving import InFlight, Rank, Waiting, WorkInFlight, ZoneWork
 from tests.harness import (
     Relay,
@@ -217,7 +217,7 @@
     def __init__(self, number, port, other):
         name = InstanceId(f"entry-{number}")
         self.table = {UpstreamId("x"): types.SimpleNamespace(online=0)}
-        self.known = PeerArrivals()
+        self.known = PeerOnlineCounts()
         line = MemberLine(name, f"127.0.0.1:{port}", ZoneId("a"), 1, 0, Revision(0))
         detector = Detector(
             line, suspect_after_s=3.0, fanout=4, rng=random.Random(number)
--- a/tests/features/steps/online_load_steps.py
+++ b/tests/features/steps/online_load_steps.py
@@ -370,7 +370,7 @@
         upstream.online = 0 if state == "a free slot" else 8
         if "ejected" in state:
             upstream.online = 0
-            upstream.health.unreachable(0.0)
+            upstream.breaker.unreachable(0.0)
     allowed = 0.01 if "short" in state else ALLOWED_S
     waiter = Waiter(
         service="menus",
--- a/tests/features/steps/quarantine_decision_steps.py
+++ b/tests/features/steps/quarantine_decision_steps.py
@@ -242,11 +242,11 @@
 
 
 def fail(state):
-    state.health.unreachable(0.0)
+    state.breaker.unreachable(0.0)
 
 
 KNOWN = {
-    "failures": (fail, lambda s: not s.health.may_try(0.1)),
+    "failures": (fail, lambda s: not s.breaker.allows_request(0.1)),
     "failed results": (
         lambda s: [s.results.observe(failed=True, now=0.0) for _ in range(4)],
         lambda s: s.results.suspect(0.0),
--- a/tests/features/steps/serving_steps.py
+++ b/tests/features/steps/serving_steps.py
@@ -123,7 +123,7 @@
         state.online, state.batch = int(online), int(batch)
         state.gone = "G" in flags
         if "E" in flags:
-            state.health.unreachable(0.0)
+            state.breaker.unreachable(0.0)
         for _ in range(2 if "F" in flags else 0):
             state.results.observe(failed=True, now=0.0)
     if what == "online":
@@ -615,14 +615,14 @@
 def unreachable_for(context, cut):
     placement = Placement(ZoneId("a"), rng=random.Random(1))
     placement.replace([roomy_upstream("x")])
-    health = placement.states[UpstreamId("x")].health
+    breaker = placement.states[UpstreamId("x")].breaker
     now = 0.0
     while now < cut:
-        if health.may_try(now):
-            health.started()
-            health.unreachable(now)
+        if breaker.allows_request(now):
+            breaker.started()
+            breaker.unreachable(now)
         now += 0.1
-    while not health.may_try(now):
+    while not breaker.allows_request(now):
         now += 0.1
     context.back_after = now - cut
 
--- a/tests/features/steps/silence_steps.py
+++ b/tests/features/steps/silence_steps.py
@@ -196,5 +196,5 @@
 def few_ejected(context, ejected, suspect):
     now = context.ended_at
     states = context.placement.states.values()
-    assert sum(state.health.retry_in(now) > 0 for state in states) == ejected
+    assert sum(state.breaker.retry_after_s(now) > 0 for state in states) == ejected
     assert len(context.placement.suspects(now)) == suspect
--- a/tests/features/steps/suspended_steps.py
+++ b/tests/features/steps/suspended_steps.py
@@ -11,7 +11,7 @@
 from coppercleat import clock
 from coppercleat.ids import InstanceId, Revision, ZoneId
 from coppercleat.membership import Heartbeat, MemberLine
-from coppercleat.routing import Health
+from coppercleat.routing import CircuitBreaker
 from coppercleat.serving import Placement, Watch
 from coppercleat.storage import MemoryPlatform
 from tests.harness import make_peers, node_settings
@@ -85,10 +85,10 @@
 
 
 async def ejected_may_be_tried(suspend):
-    health = Health()
-    health.unreachable(trio.current_time())
+    breaker = CircuitBreaker()
+    breaker.unreachable(trio.current_time())
     suspend()
-    return health.may_try(trio.current_time())
+    return breaker.allows_request(trio.current_time())
 
 
 LOOKS = {
