--- a/src/coppercleat/limits/__init__.py
+++ b/src/coppercleat/limits/__init__.py
@@ -12,9 +12,9 @@
 
 __all__ = [
     "AdmissionController",
+    "AdmissionRequest",
     "Admitted",
     "Refusal",
-    "AdmissionRequest",
     "RetryBudget",
     "TenantLimiter",
     "TenantLimits",
--- a/src/coppercleat/online/__init__.py
+++ b/src/coppercleat/online/__init__.py
@@ -1,4 +1,4 @@
-"""The online path: filters that a request passes, and the dispatch behind them."""
+"""Online request path: a pipeline of filters that ends in the dispatcher."""
 
 from coppercleat.online._claims import IdempotencyRecord, IdempotencyStore
 from coppercleat.online._dispatch import Dispatcher
@@ -15,15 +15,15 @@
 __all__ = [
     "ANONYMOUS",
     "FILTERS",
-    "IdempotencyStore",
-    "ServiceRequest",
     "Chunk",
     "Dispatcher",
     "Exchange",
+    "IdempotencyRecord",
+    "IdempotencyStore",
     "InferenceRequest",
     "OnlineServices",
     "Pipeline",
-    "IdempotencyRecord",
+    "ServiceRequest",
     "find_tenant",
     "online_filter",
     "pick_version",
--- a/src/coppercleat/online/_claims.py
+++ b/src/coppercleat/online/_claims.py
@@ -1,8 +1,8 @@
-"""Keyed requests: a durable claim before, a stored answer after.
+"""Idempotency keys: a durable claim before a request runs, its response after.
 
-The row ``answer/TENANT/KEY`` is put before a keyed request is sent to an
-upstream and holds the answer once there is one. A resend, to whichever
-instance, finds it: the same answer, or that the outcome is unknown.
+The row ``answer/TENANT/KEY`` is written before a request with a key is sent to an
+upstream and later holds the response. A retry by the client, at any instance, gets
+the same response, or an error that the outcome is unknown.
 """
 
 from __future__ import annotations
@@ -30,19 +30,28 @@
     decode_row,
 )
 
-_ATTEMPTS = 4
-_POLL_S = 0.1
+_MAX_ATTEMPTS = 4
+_POLL_INTERVAL_S = 0.1
 
 
 class ClaimState(enum.Enum):
-    """Where a keyed request stands."""
+    """State of an idempotency key."""
 
     CLAIMED = "claimed"
     ANSWERED = "answered"
 
 
 class IdempotencyRecord(msgspec.Struct, kw_only=True):
-    """The row of a keyed request."""
+    """Stored row of an idempotency key.
+
+    Attributes:
+      request_id: Request that claimed the key.
+      content_hash: Hash of the request's content.
+      state: Whether the response is stored.
+      text: Generated text of the response.
+      tokens: Number of generated tokens.
+      body: Response body of a plain service.
+    """
 
     request_id: RequestId
     content_hash: str
@@ -53,100 +62,109 @@
 
 
 class IdempotencyStore:
-    """Claims keys and stores answers on the platform."""
+    """Claims idempotency keys and stores responses on the platform."""
 
     def __init__(self, platform: Platform) -> None:
         self.platform = platform
-        self._versions: dict[str, int] = {}
+        self._claim_versions: dict[str, int] = {}
 
     async def claim(
         self, tenant: TenantId, key: str, request_id: RequestId, content: bytes
     ) -> IdempotencyRecord | None:
-        """Claims a key, or finds what an earlier request left.
+        """Claims a key unless an earlier request has claimed it.
+
+        Args:
+          tenant: Tenant of the request.
+          key: Idempotency key.
+          request_id: Id of the request.
+          content: Serialized content of the request.
 
         Returns:
-          None if this request now holds the key, else the earlier row.
+          None if this request holds the key, else the earlier request's record.
 
         Raises:
-          PlatformUnavailableError: The key was not claimed; nothing may run.
+          PlatformUnavailableError: The claim is not confirmed; the request must
+            not run.
           ConflictError: The key belongs to a request with other content.
         """
         row_key = _row_key(tenant, key)
-        mine = IdempotencyRecord(
+        record = IdempotencyRecord(
             request_id=request_id, content_hash=content_hash(content)
         )
         transaction = Transaction(
             checks=[Check(row_key, ABSENT)],
-            puts=[Put(row_key, msgspec.json.encode(mine))],
+            puts=[Put(row_key, msgspec.json.encode(record))],
         )
-        for _ in range(_ATTEMPTS):
+        for _ in range(_MAX_ATTEMPTS):
             try:
                 result = await self.platform.transact(transaction)
             except AnswerLostError:
                 result = None
             if isinstance(result, dict):
-                self._versions[row_key] = result[row_key]
+                self._claim_versions[row_key] = result[row_key]
                 return None
+            # The transaction may have been committed although its result was lost.
             row = (await self.platform.read([row_key])).get(row_key)
             if row is None:
                 continue
-            found = decode_row(row, IdempotencyRecord)
-            if found.request_id == request_id:
-                self._versions[row_key] = row.version
+            existing = decode_row(row, IdempotencyRecord)
+            if existing.request_id == request_id:
+                self._claim_versions[row_key] = row.version
                 return None
-            if found.content_hash != mine.content_hash:
+            if existing.content_hash != record.content_hash:
                 raise ConflictError(
                     f"The key {key} belongs to a request with other content",
                     remedy="Use a new key for a new request.",
                 )
-            return found
+            return existing
         raise PlatformUnavailableError("The platform did not confirm the key")
 
-    async def wait(
+    async def wait_for_response(
         self, tenant: TenantId, key: str, *, deadline: float
     ) -> IdempotencyRecord:
-        """Waits for the answer that another request with this key will store.
+        """Waits for the response of the request that holds the key.
 
         Raises:
-          OutcomeUnknownError: None came by the deadline.
+          OutcomeUnknownError: No response was stored by the deadline, or the claim
+            was released.
         """
         row_key = _row_key(tenant, key)
-        while trio.current_time() + _POLL_S < deadline:
-            await trio.sleep(_POLL_S)
+        while trio.current_time() + _POLL_INTERVAL_S < deadline:
+            await trio.sleep(_POLL_INTERVAL_S)
             row = (await self.platform.read([row_key])).get(row_key)
             if row is None:
                 break
-            found = decode_row(row, IdempotencyRecord)
-            if found.state is ClaimState.ANSWERED:
-                return found
+            existing = decode_row(row, IdempotencyRecord)
+            if existing.state is ClaimState.ANSWERED:
+                return existing
         raise OutcomeUnknownError(f"The request with key {key} gave no answer")
 
-    async def store(
-        self, tenant: TenantId, key: str, answer: IdempotencyRecord
+    async def store_response(
+        self, tenant: TenantId, key: str, record: IdempotencyRecord
     ) -> None:
-        """Stores the answer for resends; what fails leaves the key claimed."""
+        """Stores the response; if that fails, the key stays claimed."""
         row_key = _row_key(tenant, key)
-        answer.state = ClaimState.ANSWERED
+        record.state = ClaimState.ANSWERED
         transaction = Transaction(
-            checks=[Check(row_key, self._versions.pop(row_key))],
-            puts=[Put(row_key, msgspec.json.encode(answer))],
+            checks=[Check(row_key, self._claim_versions.pop(row_key))],
+            puts=[Put(row_key, msgspec.json.encode(record))],
         )
-        for _ in range(_ATTEMPTS):
+        for _ in range(_MAX_ATTEMPTS):
             try:
                 await self.platform.transact(transaction)
             except (AnswerLostError, PlatformUnavailableError):
-                await trio.sleep(_POLL_S)
+                await trio.sleep(_POLL_INTERVAL_S)
                 continue
             return
 
     async def release(self, tenant: TenantId, key: str) -> bool:
-        """Frees a key whose request provably did not run.
+        """Releases the key of a request that certainly did not run.
 
         Returns:
-          Whether it was freed; if not, resends learn of an unknown outcome.
+          Whether the key was released; if not, retries get an unknown outcome.
         """
         row_key = _row_key(tenant, key)
-        version = self._versions.pop(row_key)
+        version = self._claim_versions.pop(row_key)
         try:
             result = await self.platform.transact(
                 Transaction(checks=[Check(row_key, version)], deletes=[row_key])
@@ -155,13 +173,13 @@
             return False
         return not isinstance(result, TransactionRefused)
 
-    def keep(self, tenant: TenantId, key: str) -> None:
-        """Leaves a key claimed: its request may have run."""
-        self._versions.pop(_row_key(tenant, key), None)
+    def keep_claim(self, tenant: TenantId, key: str) -> None:
+        """Leaves a key claimed since its request may have run."""
+        self._claim_versions.pop(_row_key(tenant, key), None)
 
 
 def content_hash(content: bytes) -> str:
-    """Returns the hash by which a resend is told from another request."""
+    """Returns the hash that distinguishes a retry from a different request."""
     return xxhash.xxh3_128_hexdigest(content)
 
 
--- a/src/coppercleat/online/_dispatch.py
+++ b/src/coppercleat/online/_dispatch.py
@@ -1,4 +1,4 @@
-"""Sends a request to an upstream, and again elsewhere where that is safe."""
+"""Dispatches requests to upstreams and retries them where that is safe."""
 
 from __future__ import annotations
 
@@ -35,50 +35,52 @@
 from coppercleat.upstreams import Attempt, AttemptState, EngineRequest
 
 _MAX_ATTEMPTS = 4
-_SMOOTHING = 0.1
+_SMOOTHING_FACTOR = 0.1
 _RETRY_AFTER_MS = 1_000
 
 _log = part_logger("dispatch")
 
 
 class Dispatcher:
-    """Chooses upstreams for a request until it is answered or refused."""
+    """Sends a request to one upstream after another until it succeeds or fails."""
 
     def __init__(self, services: OnlineServices) -> None:
         self.services = services
 
     async def run(self, exchange: Exchange) -> AsyncGenerator[Chunk, None]:
-        """Yields the answer's parts.
+        """Yields the chunks of the response.
 
         Raises:
-          UpstreamUnavailableError: None could take it; it was not run.
+          UpstreamUnavailableError: No upstream could take the request, or it is kept
+            in quarantine.
           DeadlineExceededError: The deadline passed.
-          OutcomeUnknownError: It may have run and must not be sent again.
-          UpstreamFailedError: It ran and failed, or all attempts did.
+          OutcomeUnknownError: The request may have run and must not be sent again.
+          UpstreamFailedError: The request ran and failed, or all attempts failed.
         """
         self.services.retries.record_first_attempt()
         tried: set[UpstreamId] = set()
         while True:
-            self._require_not_barred(exchange)
+            self._require_not_quarantined(exchange)
             choice = self._choose(exchange, tried)
             attempt = Attempt()
             exchange.attempts += 1
             try:
-                answer = self._attempt(exchange, choice.record, attempt)
-                async with contextlib.aclosing(answer) as chunks:
+                response = self._attempt(exchange, choice.record, attempt)
+                async with contextlib.aclosing(response) as chunks:
                     async for chunk in chunks:
                         yield chunk
                 return
             except CoppercleatError as error:
+                # The response was complete although its end was not received.
                 if exchange.max_tokens and exchange.generated >= exchange.max_tokens:
                     return
                 tried.add(choice.record.upstream)
                 if isinstance(error, UpstreamFailedError):
-                    self._note_broken(exchange, choice.record, attempt)
-                self._require_retry(exchange, attempt, error)
+                    self._record_interruption(exchange, choice.record, attempt)
+                self._require_retryable(exchange, attempt, error)
 
-    def _require_not_barred(self, exchange: Exchange) -> None:
-        """Returns if no upstreams have ended under the request, raises otherwise."""
+    def _require_not_quarantined(self, exchange: Exchange) -> None:
+        """Raises an error if the request is quarantined."""
         verdict = self.services.end_watch.admit(exchange)
         if verdict.may_run:
             return
@@ -125,21 +127,21 @@
         now = trio.current_time()
         exchange.upstream = record.upstream
         exchange.sent_at = exchange.sent_at or now
-        with self._count(record):
-            parts = (
+        with self._track_in_flight(record):
+            response = (
                 self._call(exchange, exchange.payload, record, attempt)
                 if isinstance(exchange.payload, ServiceRequest)
                 else self._infer(exchange, exchange.payload, record, attempt)
             )
-            async with contextlib.aclosing(parts) as chunks:
-                async for chunk in self._until(chunks, exchange, attempt):
+            async with contextlib.aclosing(response) as chunks:
+                async for chunk in self._with_timeouts(chunks, exchange, attempt):
                     yield chunk
             record.breaker.succeeded()
             self.services.end_watch.note_answer(exchange)
 
     @contextlib.contextmanager
-    def _count(self, record: UpstreamRecord) -> Iterator[None]:
-        """Counts the request in flight and notes how the upstream did."""
+    def _track_in_flight(self, record: UpstreamRecord) -> Iterator[None]:
+        """Counts the attempt as in flight and records its result in the breaker."""
         record.online += 1
         record.sent_since_report += 1
         record.breaker.started()
@@ -147,7 +149,7 @@
         try:
             yield
         except CoppercleatError as error:
-            if _blames_upstream(error):
+            if _counts_against_upstream(error):
                 record.breaker.failed(trio.current_time())
             else:
                 record.breaker.abandoned()
@@ -159,18 +161,22 @@
             record.online -= 1
             self.services.online_changed(record.upstream)
 
-    async def _until(
+    async def _with_timeouts(
         self, chunks: AsyncIterator[Chunk], exchange: Exchange, attempt: Attempt
     ) -> AsyncIterator[Chunk]:
-        """Passes chunks on until the deadline, or until an engine hangs.
+        """Yields chunks until the deadline passes or an engine stalls.
 
         No cancel scope is open across a yield.
         """
-        streams = isinstance(exchange.payload, InferenceRequest)
+        is_inference = isinstance(exchange.payload, InferenceRequest)
         while True:
             stalled_at = trio.current_time() + self.services.stall_s
-            limit = min(exchange.deadline, stalled_at) if streams else exchange.deadline
-            with trio.move_on_at(limit) as scope:
+            timeout_at = (
+                min(exchange.deadline, stalled_at)
+                if is_inference
+                else exchange.deadline
+            )
+            with trio.move_on_at(timeout_at) as scope:
                 try:
                     chunk = await anext(chunks)
                 except StopAsyncIteration:
@@ -203,23 +209,25 @@
             resume_tokens=exchange.generated,
         )
         client = self.services.clients.online_client(record.upstream)
-        started = trio.current_time()
-        first = 0.0
-        made = 0
-        answer = client.generate(request, attempt)
-        async with contextlib.aclosing(answer) as parts:
-            async for texts in parts:
-                first = first or trio.current_time()
-                made += len(texts)
-                yield self._pass_on(exchange, texts)
-        ended = trio.current_time()
-        record.first_token_s = _smooth(record.first_token_s, first - started)
-        if made > 1:
-            record.inter_token_s = _smooth(
-                record.inter_token_s, (ended - first) / (made - 1)
+        started_at = trio.current_time()
+        first_token_at = 0.0
+        token_count = 0
+        response = client.generate(request, attempt)
+        async with contextlib.aclosing(response) as batches:
+            async for texts in batches:
+                first_token_at = first_token_at or trio.current_time()
+                token_count += len(texts)
+                yield self._record_tokens(exchange, texts)
+        ended_at = trio.current_time()
+        record.first_token_s = _moving_average(
+            record.first_token_s, first_token_at - started_at
+        )
+        if token_count > 1:
+            record.inter_token_s = _moving_average(
+                record.inter_token_s, (ended_at - first_token_at) / (token_count - 1)
             )
 
-    def _pass_on(self, exchange: Exchange, texts: list[str]) -> Chunk:
+    def _record_tokens(self, exchange: Exchange, texts: list[str]) -> Chunk:
         if not exchange.first_token_at:
             exchange.first_token_at = trio.current_time()
         exchange.generated += len(texts)
@@ -244,20 +252,23 @@
         exchange.body = body
         yield Chunk("", 0, body)
 
-    def _note_broken(
+    def _record_interruption(
         self, exchange: Exchange, record: UpstreamRecord, attempt: Attempt
     ) -> None:
-        """Has the upstream asked whether it ended under the request."""
+        """Reports an interrupted attempt to the crash detector."""
         watch, began = self.services.end_watch, exchange.sent_at
         if attempt.state is AttemptState.LOST:
             watch.broke_off(exchange.fingerprint, record, began=began)
         elif attempt.state is AttemptState.SENT:
             watch.broke_off(exchange.fingerprint, record, began=began, silent=True)
 
-    def _require_retry(
+    def _require_retryable(
         self, exchange: Exchange, attempt: Attempt, error: CoppercleatError
     ) -> None:
-        """Returns if the request may be sent elsewhere, raises otherwise."""
+        """Returns if the request may be retried on another upstream, else raises.
+
+        A request that may have run is retried only if it is idempotent.
+        """
         if isinstance(error, DeadlineExceededError) or attempt.outcome is Outcome.RUN:
             raise error
         if attempt.outcome is Outcome.UNKNOWN:
@@ -272,7 +283,7 @@
             or now >= exchange.deadline
             or not self.services.retries.grant(now)
         ):
-            raise _final(error, exchange) from error
+            raise _final_error(error, exchange) from error
         self.services.metrics.retries.inc({"class": exchange.request_class})
         _log.info(
             "Trying another upstream.",
@@ -283,24 +294,26 @@
 
 
 def _outcome(exchange: Exchange) -> Outcome:
-    """Whether any of the attempts so far may have run."""
+    """Returns the outcome of all failed attempts together."""
     return Outcome.UNKNOWN if exchange.may_have_run else Outcome.NOT_RUN
 
 
-def _final(error: CoppercleatError, exchange: Exchange) -> CoppercleatError:
-    """Returns the last error, with an outcome that covers all attempts."""
+def _final_error(error: CoppercleatError, exchange: Exchange) -> CoppercleatError:
+    """Returns the error of the last attempt, with the outcome of all attempts."""
     if exchange.attempts == 1:
         return error
-    kind = UpstreamFailedError if exchange.may_have_run else UpstreamUnavailableError
-    return kind(
+    error_type = (
+        UpstreamFailedError if exchange.may_have_run else UpstreamUnavailableError
+    )
+    return error_type(
         f"{exchange.attempts} attempts failed, the last: {error.message}",
         outcome=_outcome(exchange),
         retry_after_ms=_RETRY_AFTER_MS,
     )
 
 
-def _blames_upstream(error: CoppercleatError) -> bool:
-    """Whether an error counts against the upstream's health."""
+def _counts_against_upstream(error: CoppercleatError) -> bool:
+    """Returns whether an error counts as a failure of the upstream."""
     if isinstance(error, UpstreamUnavailableError):
         return True
     if isinstance(error, DeadlineExceededError):
@@ -308,5 +321,6 @@
     return isinstance(error, UpstreamFailedError) and error.outcome is not Outcome.RUN
 
 
-def _smooth(old: float, new: float) -> float:
-    return new if not old else old + _SMOOTHING * (new - old)
+def _moving_average(average: float, sample: float) -> float:
+    """Returns the exponential moving average; 0 stands for none so far."""
+    return sample if not average else average + _SMOOTHING_FACTOR * (sample - average)
--- a/src/coppercleat/online/_exchange.py
+++ b/src/coppercleat/online/_exchange.py
@@ -1,4 +1,4 @@
-"""One online request on its way through the filters."""
+"""State of one online request in the pipeline."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class InferenceRequest(msgspec.Struct, kw_only=True):
-    """An inference as asked."""
+    """An inference request as received."""
 
     deployment: str
     prompt: str
@@ -21,18 +21,19 @@
 
 
 class ServiceRequest(msgspec.Struct, kw_only=True):
-    """A call to a plain service as asked."""
+    """A request to a plain service as received."""
 
     route: str
     body: bytes
 
 
 class Chunk(msgspec.Struct):
-    """A part of an answer: the texts of tokens that came together.
+    """Part of a response.
 
     Attributes:
-      tokens: How many tokens the answer has so far.
-      body: The whole answer of a plain service instead.
+      text: Text of the tokens in this chunk.
+      tokens: Number of tokens generated so far, this chunk included.
+      body: Whole response body of a plain service; empty for an engine.
     """
 
     text: str
@@ -42,25 +43,33 @@
 
 @attrs.define(kw_only=True)
 class Exchange:
-    """What is known of a request; filters fill in the lower part.
+    """An online request and its progress.
+
+    Filters and the dispatcher fill in the fields from ``tenant`` on. Times are
+    monotonic seconds of this instance.
 
     Attributes:
-      arrived_at: On this instance's clock, in seconds.
-      deadline: On the same clock.
-      at_most_once: Whether it may never run twice.
-      idempotency_key: The caller's key by which resends find the answer.
-      service: Service that runs it, by the configuration.
-      version: Version that runs it; empty for a plain service.
-      path: Path of the plain service.
-      max_tokens: Tokens to make.
-      stored: An earlier answer to the same key.
-      generated: Tokens passed on so far.
-      texts: Their texts, kept only while a resend may ask for them.
-      sent_at: When it was first sent to an upstream; 0 for not yet.
-      first_token_at: When the first token came; 0 for not yet.
-      attempts: Attempts begun.
-      may_have_run: Whether any attempt so far may have run.
-      body: The whole answer of a plain service.
+      request_id: Id of the request.
+      payload: The request as received.
+      arrived_at: When the request arrived.
+      deadline: When the request times out.
+      bearer_token: Bearer token of the client account.
+      at_most_once: Whether the request must never run twice.
+      idempotency_key: Key under which retries find the response; empty for none.
+      tenant: The authenticated client account.
+      service: Service that runs the request.
+      version: Version to run; empty for a plain service.
+      path: URL path at the plain service.
+      max_tokens: Maximum number of tokens to generate.
+      stored_response: Stored response to an earlier request with the same key.
+      generated: Tokens forwarded to the client so far.
+      texts: Their texts, kept only for a request with an idempotency key.
+      upstream: Upstream of the latest attempt.
+      sent_at: When the first attempt was sent; 0 before.
+      first_token_at: When the first token arrived; 0 before.
+      attempts: Number of attempts started.
+      may_have_run: Whether any failed attempt may have run.
+      body: Whole response body of a plain service.
     """
 
     request_id: RequestId
@@ -76,7 +85,7 @@
     version: str = ""
     path: str = ""
     max_tokens: int = 0
-    stored: Chunk | None = None
+    stored_response: Chunk | None = None
     generated: int = 0
     texts: list[str] = attrs.field(factory=list)
     upstream: UpstreamId = UpstreamId("")
@@ -88,17 +97,17 @@
 
     @property
     def idempotent(self) -> bool:
-        """Whether it may be sent again after it may have run."""
+        """Whether the request may be sent again although it may have run."""
         return not self.at_most_once
 
     @property
     def prompt(self) -> str:
-        """The prompt, or nothing for a plain service."""
+        """The prompt; empty for a plain service."""
         return self.payload.prompt if isinstance(self.payload, InferenceRequest) else ""
 
     @functools.cached_property
     def fingerprint(self) -> Fingerprint:
-        """Names what it asks: the same when a client asks again."""
+        """Fingerprint of the content, the same when a client repeats the request."""
         payload = self.payload
         if isinstance(payload, InferenceRequest):
             target = f"{payload.deployment}/{payload.adapter}/{payload.max_tokens}"
@@ -115,5 +124,5 @@
 
     @property
     def request_class(self) -> str:
-        """The class that histograms are kept by."""
+        """Value of the metric label ``class``."""
         return "infer" if isinstance(self.payload, InferenceRequest) else "call"
--- a/src/coppercleat/online/_filters.py
+++ b/src/coppercleat/online/_filters.py
@@ -1,4 +1,4 @@
-"""The filters of the online path, in the order in which a request meets them."""
+"""Filters of the online request path, in the order in which they run."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 @online_filter(order=10)
 @contextlib.asynccontextmanager
 async def measure(exchange: Exchange, services: OnlineServices) -> AsyncIterator[None]:
-    """Counts and times the request, and logs how it ended."""
+    """Records metrics of the request and logs how it ended."""
     ended = "cancelled"
     try:
         yield
@@ -59,10 +59,10 @@
         )
         raise
     finally:
-        _observe(exchange, services, ended, trio.current_time())
+        _record_metrics(exchange, services, ended, trio.current_time())
 
 
-def _observe(
+def _record_metrics(
     exchange: Exchange, services: OnlineServices, ended: str, now: float
 ) -> None:
     labels = {"tenant": exchange.tenant or ANONYMOUS, "class": exchange.request_class}
@@ -72,11 +72,11 @@
     if exchange.sent_at:
         metrics.queueing.observe(labels, exchange.sent_at - exchange.arrived_at)
     if exchange.first_token_at:
-        first = exchange.first_token_at
-        metrics.first_token.observe(labels, first - exchange.arrived_at)
+        first_at = exchange.first_token_at
+        metrics.first_token.observe(labels, first_at - exchange.arrived_at)
         if exchange.generated > 1:
-            between = (now - first) / (exchange.generated - 1)
-            metrics.between_tokens.observe(labels, between)
+            interval_s = (now - first_at) / (exchange.generated - 1)
+            metrics.between_tokens.observe(labels, interval_s)
     _log.debug(
         "Request ended.",
         request_id=exchange.request_id,
@@ -92,7 +92,7 @@
 async def authenticate(
     exchange: Exchange, services: OnlineServices
 ) -> AsyncIterator[None]:
-    """Finds the tenant by its token; without tenants configured all may call."""
+    """Authenticates the tenant by its bearer token."""
     exchange.tenant = find_tenant(
         services.document.bodies(Kind.TENANT), exchange.bearer_token
     )
@@ -100,12 +100,18 @@
 
 
 def find_tenant(tenants: list[tuple[str, Tenant]], bearer_token: str) -> TenantId:
-    """Returns the tenant whose token this is.
+    """Returns the tenant that a bearer token belongs to.
 
-    Only digests are compared, so timing tells nothing of a token.
+    Digests are compared instead of tokens, so that the comparison's timing reveals
+    nothing about a token.
+
+    Args:
+      tenants: Names and configurations of all tenants; if empty, anonymous requests
+        are accepted.
+      bearer_token: Bearer token of the request.
 
     Raises:
-      UnauthenticatedError: No tenant has this token.
+      UnauthenticatedError: The token belongs to no tenant.
     """
     if not tenants:
         return ANONYMOUS
@@ -119,7 +125,7 @@
 @online_filter(order=30)
 @contextlib.asynccontextmanager
 async def resolve(exchange: Exchange, services: OnlineServices) -> AsyncIterator[None]:
-    """Checks the request and finds what serves it."""
+    """Validates the request and resolves the service that runs it."""
     if len(exchange.idempotency_key) > _MAX_KEY_CHARS:
         raise InvalidRequestError(f"idempotency_key exceeds {_MAX_KEY_CHARS} letters")
     if exchange.idempotency_key and not exchange.at_most_once:
@@ -169,10 +175,15 @@
 def pick_version(
     deployment: Deployment, records: Iterable[UpstreamRecord], rng: random.Random
 ) -> str:
-    """Draws a version by weight, among those that some upstream has loaded.
+    """Picks a version at random by weight, among those that an upstream has loaded.
+
+    While a version is loading, its share goes to the other versions. If all loaded
+    versions have weight 0, the first of them is picked.
 
-    While a new version is being loaded its share goes to the others. If none
-    of positive weight is loaded, any that is loaded still serves.
+    Args:
+      deployment: Deployment with the weights of its versions.
+      records: All known upstreams.
+      rng: Random source.
     """
     serving = [r for r in records if r.node.service == deployment.service]
     loaded = {
@@ -191,7 +202,7 @@
 async def limit_tenant(
     exchange: Exchange, services: OnlineServices
 ) -> AsyncIterator[None]:
-    """Holds a tenant to this instance's share of its limits."""
+    """Enforces this instance's share of the limits of the tenant."""
     tenant: Tenant | None = services.document.get(Kind.TENANT, exchange.tenant)
     limits = TenantLimits()
     if tenant is not None:
@@ -203,7 +214,7 @@
         now=trio.current_time(),
     )
     if isinstance(decision, Refusal):
-        raise _overloaded(decision)
+        raise _overloaded_error(decision)
     try:
         yield
     finally:
@@ -213,7 +224,7 @@
 @online_filter(order=50)
 @contextlib.asynccontextmanager
 async def admit(exchange: Exchange, services: OnlineServices) -> AsyncIterator[None]:
-    """Refuses at the door what cannot meet its deadline."""
+    """Refuses requests beyond capacity and those that would miss their deadline."""
     serving = [r for r in services.table if r.node.service == exchange.service]
     decision = services.admission.decide(
         AdmissionRequest(
@@ -224,7 +235,7 @@
         inter_token_s=min((r.inter_token_s for r in serving), default=0.0),
     )
     if isinstance(decision, Refusal):
-        raise _overloaded(decision)
+        raise _overloaded_error(decision)
     services.admission.in_flight += 1
     services.metrics.in_flight.set({}, services.admission.in_flight)
     try:
@@ -234,7 +245,7 @@
         services.metrics.in_flight.set({}, services.admission.in_flight)
 
 
-def _overloaded(refusal: Refusal) -> OverloadedError:
+def _overloaded_error(refusal: Refusal) -> OverloadedError:
     return OverloadedError(
         f"Refused: {refusal.reason}",
         retry_after_ms=max(1, round(1000 * min(60.0, refusal.retry_after_s))),
@@ -246,42 +257,40 @@
 async def claim_key(
     exchange: Exchange, services: OnlineServices
 ) -> AsyncIterator[None]:
-    """Claims a key before the request may run, and stores its answer after."""
+    """Claims the idempotency key before the request runs and stores its response."""
     if not exchange.idempotency_key:
         yield
         return
-    idempotency, tenant, idempotency_key = (
+    store, tenant, key = (
         services.idempotency,
         exchange.tenant,
         exchange.idempotency_key,
     )
     content = msgspec.json.encode(exchange.payload)
-    earlier = await idempotency.claim(
-        tenant, idempotency_key, exchange.request_id, content
-    )
-    if earlier is not None:
-        if earlier.state is not ClaimState.ANSWERED:
-            earlier = await idempotency.wait(
-                tenant, idempotency_key, deadline=exchange.deadline
+    existing = await store.claim(tenant, key, exchange.request_id, content)
+    if existing is not None:
+        if existing.state is not ClaimState.ANSWERED:
+            existing = await store.wait_for_response(
+                tenant, key, deadline=exchange.deadline
             )
-        exchange.stored = Chunk(earlier.text, earlier.tokens, earlier.body)
+        exchange.stored_response = Chunk(existing.text, existing.tokens, existing.body)
         yield
         return
-    settled = False
+    claim_resolved = False
     try:
         yield
-        await idempotency.store(tenant, idempotency_key, _answer_of(exchange, content))
-        settled = True
+        await store.store_response(tenant, key, _idempotency_record(exchange, content))
+        claim_resolved = True
     except CoppercleatError as error:
         if error.outcome is Outcome.NOT_RUN:
-            settled = await idempotency.release(tenant, idempotency_key)
+            claim_resolved = await store.release(tenant, key)
         raise
     finally:
-        if not settled:
-            idempotency.keep(tenant, idempotency_key)
+        if not claim_resolved:
+            store.keep_claim(tenant, key)
 
 
-def _answer_of(exchange: Exchange, content: bytes) -> IdempotencyRecord:
+def _idempotency_record(exchange: Exchange, content: bytes) -> IdempotencyRecord:
     return IdempotencyRecord(
         request_id=exchange.request_id,
         content_hash=content_hash(content),
--- a/src/coppercleat/online/_pipeline.py
+++ b/src/coppercleat/online/_pipeline.py
@@ -1,8 +1,8 @@
-"""Runs a request through all filters in order, then dispatches it.
+"""Passes a request through all filters in order, then dispatches it.
 
-A filter is an async context manager: what stands before its ``yield`` may
-refuse the request by raising, what stands after sees how it ended. No cancel
-scope may be open across the ``yield``.
+A filter is an async context manager. Code before its ``yield`` may refuse the
+request by raising an error; code after the ``yield`` sees how the request ended.
+No cancel scope may be open across the ``yield``.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 
 
 def online_filter(*, order: int) -> Callable[[_F], _F]:
-    """Registers a filter; lower orders come first."""
+    """Returns a decorator that registers a filter; lower orders run first."""
 
     def register(function: _F) -> _F:
         if order in FILTERS:
-            raise ValueError(f"two filters of order {order}")
+            raise ValueError(f"a filter with order {order} is already registered")
         FILTERS[order] = function
         return function
 
@@ -37,7 +37,7 @@
 
 
 class Pipeline:
-    """The filters in order, with the dispatch at their end."""
+    """Chain of filters that ends in the dispatcher."""
 
     def __init__(self, services: OnlineServices) -> None:
         self.services = services
@@ -45,14 +45,18 @@
         self._filters = [FILTERS[order] for order in sorted(FILTERS)]
 
     async def run(self, exchange: Exchange) -> AsyncGenerator[Chunk, None]:
-        """Yields the parts of the answer; raises a typed error otherwise."""
+        """Yields the chunks of the response.
+
+        Raises:
+          CoppercleatError: A filter refused the request, or it failed.
+        """
         async with contextlib.AsyncExitStack() as stack:
-            for enter in self._filters:
-                await stack.enter_async_context(enter(exchange, self.services))
-            if exchange.stored is not None:
-                yield exchange.stored
+            for new_context in self._filters:
+                await stack.enter_async_context(new_context(exchange, self.services))
+            if exchange.stored_response is not None:
+                yield exchange.stored_response
                 return
-            answer = self._dispatcher.run(exchange)
-            async with contextlib.aclosing(answer) as chunks:
+            response = self._dispatcher.run(exchange)
+            async with contextlib.aclosing(response) as chunks:
                 async for chunk in chunks:
                     yield chunk
--- a/src/coppercleat/online/_services.py
+++ b/src/coppercleat/online/_services.py
@@ -1,4 +1,4 @@
-"""What the online path works with, given to every filter."""
+"""Dependencies of the online filters and the dispatcher."""
 
 from __future__ import annotations
 
@@ -19,23 +19,34 @@
 
 
 class ClientProvider(Protocol):
-    """Gives the client of an upstream."""
+    """Provides the clients of upstreams."""
 
     def online_client(self, upstream: UpstreamId) -> UpstreamClient:
-        """Returns the client for online requests."""
+        """Returns the client for online requests to an upstream."""
         ...
 
 
 @attrs.define(kw_only=True)
 class OnlineServices:
-    """Everything that filters and dispatch need.
+    """Dependencies of the online filters and the dispatcher.
 
     Attributes:
-      live_instances: Gives the number of instances thought alive.
-      online_changed: Told when online requests on an upstream changed.
-      batch_active: Tells whether batch jobs are open.
-      end_watch: Knows requests that end their upstreams.
-      stall_s: Seconds without a token after which an engine counts as hung.
+      document: Current configuration.
+      table: Upstreams that this instance tracks.
+      clients: Clients of the upstreams.
+      zone: Availability zone of this instance.
+      rng: Random source for routing and for the choice of a version.
+      admission: Admission control of this instance.
+      tenants: Limits of the client accounts.
+      retries: Retry budget.
+      idempotency: Idempotency store.
+      metrics: Metrics of this instance.
+      live_instances: Returns the number of live instances.
+      online_changed: Called when the number of online requests in flight on an
+        upstream has changed.
+      batch_active: Returns whether any batch job is open.
+      end_watch: Decides whether requests have crashed upstreams.
+      stall_s: Seconds without a token after which an engine counts as stalled.
     """
 
     document: Document
--- a/src/coppercleat/routing/__init__.py
+++ b/src/coppercleat/routing/__init__.py
@@ -8,7 +8,10 @@
     choose_upstream,
     expected_load,
 )
-from coppercleat.routing._feeders import PeerOnlineCounts, assign_batch_dispatchers
+from coppercleat.routing._feeders import (
+    PeerOnlineCounts,
+    assign_batch_dispatchers,
+)
 from coppercleat.routing._health import CircuitBreaker, CircuitState
 from coppercleat.routing._rendezvous import rendezvous_order, rendezvous_owner
 from coppercleat.routing._subset import select_subset
@@ -16,18 +19,18 @@
 
 __all__ = [
     "ONLINE_ACTIVITY_WINDOW_S",
-    "UpstreamChoice",
     "CircuitBreaker",
     "CircuitState",
     "NoUpstream",
     "PeerOnlineCounts",
+    "RoutingRequest",
     "RoutingTable",
+    "UpstreamChoice",
     "UpstreamRecord",
-    "RoutingRequest",
     "assign_batch_dispatchers",
     "choose_upstream",
     "expected_load",
-    "rendezvous_owner",
     "rendezvous_order",
+    "rendezvous_owner",
     "select_subset",
 ]
