--- a/src/coppercleat/limits/__init__.py
+++ b/src/coppercleat/limits/__init__.py
@@ -1,15 +1,20 @@
-"""Decides what is let in: rates, concurrency, deadlines and retries."""
+"""Admission control, rate limits for client accounts, and retry budgets."""
 
-from coppercleat.limits._admission import Admission, Admitted, Refusal, Request
+from coppercleat.limits._admission import (
+    AdmissionController,
+    AdmissionRequest,
+    Admitted,
+    Refusal,
+)
 from coppercleat.limits._retries import RetryBudget
 from coppercleat.limits._tenants import TenantLimiter, TenantLimits
 from coppercleat.limits._token_bucket import TokenBucket
 
 __all__ = [
-    "Admission",
+    "AdmissionController",
+    "AdmissionRequest",
     "Admitted",
     "Refusal",
-    "Request",
     "RetryBudget",
     "TenantLimiter",
     "TenantLimits",
--- a/src/coppercleat/online/_services.py
+++ b/src/coppercleat/online/_services.py
@@ -1,4 +1,4 @@
-"""What the online path works with, given to every filter."""
+"""Dependencies of the online filters and the dispatcher."""
 
 from __future__ import annotations
 
@@ -10,43 +10,54 @@
 
 from coppercleat.configuration import Document
 from coppercleat.ids import UpstreamId, ZoneId
-from coppercleat.limits import Admission, RetryBudget, TenantLimiter
+from coppercleat.limits import AdmissionController, RetryBudget, TenantLimiter
 from coppercleat.observability import Metrics
-from coppercleat.online._claims import AnswerStore
+from coppercleat.online._claims import IdempotencyStore
 from coppercleat.quarantine import CrashDetector
 from coppercleat.routing import RoutingTable, UpstreamRecord
 from coppercleat.upstreams import UpstreamClient
 
 
-class Clients(Protocol):
-    """Gives the client of an upstream."""
+class ClientProvider(Protocol):
+    """Provides the clients of upstreams."""
 
     def online_client(self, upstream: UpstreamId) -> UpstreamClient:
-        """Returns the client for online requests."""
+        """Returns the client for online requests to an upstream."""
         ...
 
 
 @attrs.define(kw_only=True)
 class OnlineServices:
-    """Everything that filters and dispatch need.
+    """Dependencies of the online filters and the dispatcher.
 
     Attributes:
-      live_instances: Gives the number of instances thought alive.
-      online_changed: Told when online requests on an upstream changed.
-      batch_active: Tells whether batch jobs are open.
-      crash_detector: Knows requests that end their upstreams.
-      stall_s: Seconds without a token after which an engine counts as hung.
+      document: Current configuration.
+      table: Upstreams that this instance tracks.
+      clients: Clients of the upstreams.
+      zone: Availability zone of this instance.
+      rng: Random source for routing and for the choice of a version.
+      admission: Admission control of this instance.
+      tenants: Limits of the client accounts.
+      retries: Retry budget.
+      idempotency: Idempotency store.
+      metrics: Metrics of this instance.
+      live_instances: Returns the number of live instances.
+      online_changed: Called when the number of online requests in flight on an
+        upstream has changed.
+      batch_active: Returns whether any batch job is open.
+      crash_detector: Decides whether requests have crashed upstreams.
+      stall_s: Seconds without a token after which an engine counts as stalled.
     """
 
     document: Document
     table: RoutingTable
-    clients: Clients
+    clients: ClientProvider
     zone: ZoneId
     rng: random.Random
-    admission: Admission
+    admission: AdmissionController
     tenants: TenantLimiter
     retries: RetryBudget
-    answers: AnswerStore
+    idempotency: IdempotencyStore
     metrics: Metrics
     live_instances: Callable[[], int]
     online_changed: Callable[[UpstreamId], None]
