--- a/src/coppercleat/jobs/__init__.py
+++ b/src/coppercleat/jobs/__init__.py
@@ -15,7 +15,7 @@
 )
 from coppercleat.jobs._run import JobRun
 from coppercleat.jobs._schedule import next_turns
-from coppercleat.jobs._still_jobs import StillJobs
+from coppercleat.jobs._stalled_jobs import StillJobs
 from coppercleat.jobs._sweep import Sweeper
 from coppercleat.jobs._worker import JobWorker
 
--- a/src/coppercleat/jobs/_index.py
+++ b/src/coppercleat/jobs/_index.py
@@ -12,7 +12,7 @@
 from coppercleat.observability import part_logger
 from coppercleat.storage import HistoryLostError, Platform, Row, decode_row
 
-RESCAN_S = 6.0
+FULL_READ_INTERVAL_S = 6.0
 """How often all jobs are read whole, beside their changes: the store may leave changes
 out for a moment before it drops its history, and a job that nobody knows is not run."""
 
@@ -35,9 +35,9 @@
         self.loaded = False
         self.fresh_at = float("-inf")
         self.on_change: Callable[[Held], None] = lambda held: None
-        self._misfits: dict[str, int] = {}
+        self._invalid_rows: dict[str, int] = {}
         self._version = 0
-        self._rescan_at = float("-inf")
+        self._next_full_read_at = float("-inf")
 
     def __iter__(self) -> Iterator[Held]:
         return iter(list(self.held.values()))
@@ -65,7 +65,7 @@
         """Reads what has changed, or everything if the changes are lost."""
         began = trio.current_time()
         try:
-            if began >= self._rescan_at:
+            if began >= self._next_full_read_at:
                 await self._read_all()
             changes = await self.platform.changes(JOB_SPACE, after=self._version)
         except HistoryLostError:
@@ -75,9 +75,9 @@
         for changed in changes.rows:
             if changed.row is None:
                 self.held.pop(JobId(changed.key.removeprefix(f"{JOB_SPACE}/")), None)
-                self._misfits.pop(changed.key, None)
+                self._invalid_rows.pop(changed.key, None)
             else:
-                self._take(changed.key, changed.row)
+                self._apply_row(changed.key, changed.row)
         self._version = max(self._version, changes.version)
         self.fresh_at = began
 
@@ -90,22 +90,22 @@
             while True:
                 rows = await self.platform.scan(prefix, after=after, part=part)
                 for key, row in rows:
-                    self._take(key, row)
+                    self._apply_row(key, row)
                 if not rows:
                     break
                 after = rows[-1][0]
         self._version = newest
         self.loaded = True
-        self._rescan_at = trio.current_time() + RESCAN_S
+        self._next_full_read_at = trio.current_time() + FULL_READ_INTERVAL_S
 
-    def _take(self, key: str, row: Row) -> None:
+    def _apply_row(self, key: str, row: Row) -> None:
         try:
             job = decode_row(row, JobRow)
             if key != job_key(job.job):
                 raise ValueError(f"It is the row of {job.job!r}")
             self.observe(Held(job, row.version))
         except Exception as error:  # noqa: BLE001 - one bad row must not hide the rest
-            if self._misfits.get(key) == row.version:
+            if self._invalid_rows.get(key) == row.version:
                 return
-            self._misfits[key] = row.version
+            self._invalid_rows[key] = row.version
             _log.error("A job's row does not fit.", key=key, reason=str(error))
--- /dev/null
+++ b/src/coppercleat/jobs/_item_quarantine.py
@@ -0,0 +1,139 @@
+"""Defers items under which upstreams have crashed, and logs it."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import trio
+
+from coppercleat.jobs._run import ItemProgress, JobRun, QuarantineState
+from coppercleat.observability import part_logger
+from coppercleat.quarantine import EndWatch, Standing, Verdict, shown
+from coppercleat.serving import Placement, Route, UpstreamState
+
+_SLOT_RETRY_S = 0.25
+"""Delay before an item that may go to few upstreams is tried there again."""
+
+RECHECK_INTERVAL_S = 0.5
+"""Interval at which the verdict on a quarantined item is requested again."""
+
+_log = part_logger("jobs")
+
+
+class ItemQuarantine:
+    """Applies the verdicts on requests that crash upstreams to batch items."""
+
+    def __init__(
+        self, end_watch: EndWatch[UpstreamState], placement: Placement
+    ) -> None:
+        """Initializes the quarantine.
+
+        Args:
+          end_watch: Holds the verdicts on requests under which upstreams crashed.
+          placement: Knows which upstreams are steady, that is, have run for some time
+            without a crash.
+        """
+        self.end_watch = end_watch
+        self.placement = placement
+
+    def verdict(self, run: JobRun, item: ItemProgress) -> Verdict:
+        """Returns whether an item may run, given the upstream crashes under it."""
+        return self.end_watch.verdict(run.request_of(item), item=True)
+
+    def is_blocked(self, route: Route, verdict: Verdict) -> bool:
+        """Returns whether an item without a slot waits for more than a free slot."""
+        return not verdict.may_run or self.unsteady_verdict(route, verdict) is not None
+
+    def unsteady_verdict(self, route: Route, verdict: Verdict) -> Verdict | None:
+        """Returns the verdict on an item that may run but has found no slot.
+
+        Returns:
+          A verdict to wait for an upstream that the item may go to; None if it may go
+          to any, so that it only waits for a free slot.
+        """
+        now, service = trio.current_time(), route.targets[0].service
+        avoid = self.placement.to_avoid(verdict, service, now=now)
+        if not avoid and verdict.standing is not Standing.TRIAL:
+            return None
+        wait_s = _SLOT_RETRY_S
+        if not self.placement.serves(service, avoid=avoid):
+            wait_s = max(wait_s, self.placement.steady_in_s(service, now=now))
+        return Verdict(Standing.UNSTEADY, wait_s, verdict.ends)
+
+    def defer_blocked(
+        self,
+        run: JobRun,
+        route: Route,
+        *,
+        seconds_left: Callable[[ItemProgress], float],
+        due_in_s: float,
+    ) -> None:
+        """Defers all items of a job that may not run or find no permitted upstream.
+
+        Only the first item of a job is considered for a slot, so that each blocked
+        item would otherwise delay those behind it by one scheduling pass.
+
+        Args:
+          run: The job.
+          route: The job's route.
+          seconds_left: Estimates how many seconds an item needs if it starts now.
+          due_in_s: Seconds until the job is due.
+        """
+        now = trio.current_time()
+        for item in [item for item in run.pending if item.not_before <= now]:
+            verdict = self.verdict(run, item)
+            if verdict.may_run:
+                unsteady = self.unsteady_verdict(route, verdict)
+                verdict = unsteady or verdict
+            if not verdict.may_run:
+                run_s = seconds_left(item)
+                self.defer(run, item, verdict, run_s=run_s, due_in_s=due_in_s)
+
+    def defer(
+        self,
+        run: JobRun,
+        item: ItemProgress,
+        verdict: Verdict,
+        *,
+        run_s: float,
+        due_in_s: float,
+    ) -> None:
+        """Defers an item that may not run now.
+
+        Upstream crashes are no failures of the item, so it stays pending until its job
+        expires. It is rechecked often: a response, an operator or another instance may
+        clear it, and upstreams may recover.
+
+        Args:
+          run: The item's job.
+          item: The item.
+          verdict: Why the item may not run, and for how long.
+          run_s: Estimated seconds that the item needs once it starts.
+          due_in_s: Seconds until the job is due.
+        """
+        now = trio.current_time()
+        item.not_before = now + min(verdict.retry_after_s, RECHECK_INTERVAL_S)
+        until = now + verdict.retry_after_s
+        previous, since = item.quarantine, now
+        if previous is not None:
+            since = previous.since
+        elif verdict.retry_after_s <= _SLOT_RETRY_S:
+            return  # A short wait for a permitted slot is no quarantine.
+        item.quarantine = QuarantineState(verdict=verdict, since=since, until=until)
+        if previous is not None and not previous.differs_from(verdict):
+            return
+        self.end_watch.on_barred(verdict.standing.value)
+        done_in_s = verdict.retry_after_s + run_s
+        # The only log line about an item that may stay pending until its job expires.
+        log = _log.warning if done_in_s > due_in_s else _log.info
+        log(
+            "Item quarantined.",
+            job=run.held.row.job,
+            item=item.spec.id,
+            fingerprint=shown(run.request_of(item).fingerprint),
+            standing=verdict.standing.value,
+            ends=verdict.ends,
+            retry_after_s=round(verdict.retry_after_s, 1),
+            due_in_s=round(due_in_s, 1),
+            late=done_in_s > due_in_s,
+        )
--- a/src/coppercleat/jobs/_items.py
+++ b/src/coppercleat/jobs/_items.py
@@ -9,9 +9,9 @@
 import trio
 
 from coppercleat.ids import InstanceId, UpstreamId
-from coppercleat.jobs._item_bar import ItemBar
+from coppercleat.jobs._item_quarantine import ItemQuarantine
 from coppercleat.jobs._pace import ItemPace
-from coppercleat.jobs._run import ItemEnd, ItemRun, JobRun
+from coppercleat.jobs._run import ItemAttemptOutcome, ItemProgress, JobRun
 from coppercleat.observability import part_logger
 from coppercleat.quarantine import FREE, EndWatch, Standing, Verdict, shown
 from coppercleat.serving import (
@@ -47,10 +47,10 @@
 """An item without an event for this long goes elsewhere; events come 20 ms apart, and
 the first after at most 0.1 s beside a full batch."""
 
-_BROKEN_PAUSE_S = 0.1
+_RETRY_DELAY_S = 0.1
 """An item whose run broke waits so long, so that a faulty upstream is not hammered."""
 
-_AVOID_S = 0.3
+_REFUSAL_AVOID_S = 0.3
 """For how long an upstream that refused an item as full gets none."""
 
 _UNPROCESSABLE = 422
@@ -63,30 +63,30 @@
 
 
 @attrs.define(eq=False)
-class Running:
+class RunningItem:
     """An item in a slot of an upstream, and how to stop it.
 
     Attributes:
       stall: Cancelled when the upstream is silent.
       began_at: When the run began, in trio's time.
       heard_at: When the run began or its last event came, in trio's time.
-      silent_since: When it was last heard of, if it was given up as silent; in trio's
+      stalled_since: When it was last heard of, if it was given up as silent; in trio's
         time.
       disconnected: Whether its connection broke.
-      suspect: Whether upstreams have ended under it before.
+      crash_suspect: Whether upstreams have ended under it before.
     """
 
     run: JobRun
-    item: ItemRun
+    item: ItemProgress
     request: OnlineRequest
     state: UpstreamState
     scope: trio.CancelScope
     stall: trio.CancelScope = attrs.field(factory=trio.CancelScope)
     began_at: float = 0.0
     heard_at: float = 0.0
-    silent_since: float | None = None
+    stalled_since: float | None = None
     disconnected: bool = False
-    suspect: bool = False
+    crash_suspect: bool = False
 
 
 class ItemRunner:
@@ -119,18 +119,18 @@
         self.instance = instance
         self.silent_runs = silent_runs or SilentRuns()
         self.end_watch = end_watch or EndWatch(life_question(caller))
-        self.bar = ItemBar(self.end_watch, placement)
+        self.item_quarantine = ItemQuarantine(self.end_watch, placement)
         self.on_change = on_change
         self.on_end = on_end
-        self._running: list[Running] = []
+        self._running: list[RunningItem] = []
         self._avoided: dict[UpstreamId, float] = {}
-        self._pace = ItemPace()
+        self._estimator = ItemPace()
         self._patience = Patience(placement.rng)
 
     def find_slot(
         self,
         route: Route,
-        item: ItemRun,
+        item: ItemProgress,
         *,
         late: bool,
         due_in_s: float,
@@ -153,14 +153,14 @@
         now = trio.current_time()
         avoid = {u for u, until in self._avoided.items() if now < until}
         if item.failures:
-            avoid.update(self._suspects(route, now))
+            avoid.update(self._failing_upstreams(route, now))
         own = Place(Rank.BATCH_LATE if late else Rank.BATCH, now + due_in_s)
         service = route.targets[0].service
         shun = self.placement.to_avoid(verdict, service, now=now)
-        suspects = {r.state.id for r in self._running if r.suspect}
+        suspect_upstreams = {r.state.id for r in self._running if r.crash_suspect}
         if verdict.standing is Standing.TRIAL:
             # An end would count against both, and keep a proper one for longer.
-            shun |= suspects
+            shun |= suspect_upstreams
         ahead = self.placement.order.ahead(own, service=service, now=now)
         while True:
             state = self.placement.choose_batch(
@@ -170,7 +170,7 @@
                 now=now,
                 ahead=ahead,
                 shun=shun,
-                apart=suspects if verdict.ends else (),
+                apart=suspect_upstreams if verdict.ends else (),
             )
             if not isinstance(state, Nowhere):
                 self._patience.reset()
@@ -179,17 +179,17 @@
                 return None
             ahead = 0
 
-    def _suspects(self, route: Route, now: float) -> list[UpstreamId]:
+    def _failing_upstreams(self, route: Route, now: float) -> list[UpstreamId]:
         """Returns upstreams that seem to fail, unless all do: one may answer it yet."""
-        suspects = self.placement.suspects(now)
-        others = self.placement.serves(route.targets[0].service, avoid=suspects)
-        return suspects if others else []
+        failing = self.placement.suspects(now)
+        others = self.placement.serves(route.targets[0].service, avoid=failing)
+        return failing if others else []
 
-    def seconds_left(self, item: ItemRun) -> float:
+    def seconds_left(self, item: ItemProgress) -> float:
         """Returns how long an item takes from now, if it starts at once."""
-        return self._pace.seconds_left(len(item.events))
+        return self._estimator.seconds_left(len(item.events))
 
-    def cut_late(self, wall: float) -> None:
+    def preempt_late(self, wall: float) -> None:
         """Cuts one item that is late anyway, for one that can be done in time.
 
         Args:
@@ -215,14 +215,18 @@
             running.scope.cancel()
 
     def claim_slot(
-        self, run: JobRun, item: ItemRun, state: UpstreamState, verdict: Verdict = FREE
-    ) -> Running:
+        self,
+        run: JobRun,
+        item: ItemProgress,
+        state: UpstreamState,
+        verdict: Verdict = FREE,
+    ) -> RunningItem:
         """Counts a run before anything else can be placed."""
         request = run.request_of(item)
         if verdict.standing is Standing.TRIAL:
             self.end_watch.begin_trial(request)
-        running = Running(run, item, request, state, trio.CancelScope())
-        running.suspect = verdict.ends > 0
+        running = RunningItem(run, item, request, state, trio.CancelScope())
+        running.crash_suspect = verdict.ends > 0
         run.start(item, state.id)
         self._running.append(running)
         state.batch += 1
@@ -230,53 +234,59 @@
         self.on_change(state, True)
         return running
 
-    async def run(self, running: Running, route: Route) -> None:
+    async def run(self, running: RunningItem, route: Route) -> None:
         """Runs an item once, in the slot that was claimed for it."""
         run, item, state = running.run, running.item, running.state
         attempt = Attempt()
-        end = ItemEnd.YIELDED
+        outcome = ItemAttemptOutcome.YIELDED
         running.began_at = running.heard_at = trio.current_time()
         before = len(item.events)
-        with self._counted(running), running.scope:
-            end = await self._attempt(running, attempt)
-        self._pace.observe_run(
+        with self._slot_released(running), running.scope:
+            outcome = await self._attempt(running, attempt)
+        self._estimator.observe_run(
             events=len(item.events) - before,
             seconds=trio.current_time() - running.began_at,
         )
-        self._note_end(running, attempt, end)
-        if end in (ItemEnd.BROKEN, ItemEnd.FAILED):
-            if running.silent_since is None or self.silent_runs.blames(
-                state, running.silent_since
+        self._record_crash_evidence(running, attempt, outcome)
+        if outcome in (ItemAttemptOutcome.BROKEN, ItemAttemptOutcome.FAILED):
+            if running.stalled_since is None or self.silent_runs.blames(
+                state, running.stalled_since
             ):
-                _judge_failure(state, attempt)
-        elif end is ItemEnd.COMPLETE:
-            self._pace.observe_item(events=len(item.events))
+                _record_failure(state, attempt)
+        elif outcome is ItemAttemptOutcome.COMPLETE:
+            self._estimator.observe_item(events=len(item.events))
             state.succeeded(trio.current_time())
-        elif end is ItemEnd.NOT_RUN:
-            self._avoided[state.id] = trio.current_time() + _AVOID_S
-        pause = _BROKEN_PAUSE_S if end is not ItemEnd.YIELDED else 0.0
+        elif outcome is ItemAttemptOutcome.NOT_RUN:
+            self._avoided[state.id] = trio.current_time() + _REFUSAL_AVOID_S
+        pause = _RETRY_DELAY_S if outcome is not ItemAttemptOutcome.YIELDED else 0.0
         not_before = trio.current_time() + pause
-        run.stop(item, end, max_attempts=route.max_attempts, not_before=not_before)
-        self.on_end(end.value)
-        broke = end is ItemEnd.BROKEN
-        write = _log.info if end is not ItemEnd.YIELDED else _log.debug
-        write(
+        run.stop(item, outcome, max_attempts=route.max_attempts, not_before=not_before)
+        self.on_end(outcome.value)
+        broke = outcome is ItemAttemptOutcome.BROKEN
+        log = _log.info if outcome is not ItemAttemptOutcome.YIELDED else _log.debug
+        log(
             "Item run ended.",
             job=run.held.row.job,
             item=item.spec.id,
             fingerprint=shown(running.request.fingerprint) if broke else None,
             upstream=state.id,
-            ended=end.value,
+            ended=outcome.value,
             events=len(item.events),
             failures=item.failures,
         )
 
-    def _note_end(self, running: Running, attempt: Attempt, end: ItemEnd) -> None:
+    def _record_crash_evidence(
+        self, running: RunningItem, attempt: Attempt, outcome: ItemAttemptOutcome
+    ) -> None:
         """Notes whether the upstream may have ended under the item."""
-        silent = running.silent_since is not None
-        if end in (ItemEnd.COMPLETE, ItemEnd.FAILED, ItemEnd.IMPOSSIBLE):
+        silent = running.stalled_since is not None
+        if outcome in (
+            ItemAttemptOutcome.COMPLETE,
+            ItemAttemptOutcome.FAILED,
+            ItemAttemptOutcome.IMPOSSIBLE,
+        ):
             self.end_watch.note_answer(running.request)
-        elif end in (ItemEnd.NOT_RUN, ItemEnd.YIELDED):
+        elif outcome in (ItemAttemptOutcome.NOT_RUN, ItemAttemptOutcome.YIELDED):
             self.end_watch.not_run(running.request)
         elif attempt.state is not AttemptState.QUEUED and (
             silent or running.disconnected
@@ -291,7 +301,7 @@
             )
 
     @contextlib.contextmanager
-    def _counted(self, running: Running) -> Iterator[None]:
+    def _slot_released(self, running: RunningItem) -> Iterator[None]:
         try:
             yield
         finally:
@@ -300,11 +310,13 @@
             self._running.remove(running)
             self.on_change(running.state, False)
 
-    async def _attempt(self, running: Running, attempt: Attempt) -> ItemEnd:
+    async def _attempt(
+        self, running: RunningItem, attempt: Attempt
+    ) -> ItemAttemptOutcome:
         item, state = running.item, running.state
         request = running.request
-        end = ItemEnd.BROKEN
-        with self._watched(running, attempt), running.stall:
+        outcome = ItemAttemptOutcome.BROKEN
+        with self._abandonment_recorded(running, attempt), running.stall:
             try:
                 async with self.caller.exchange(
                     state.upstream,
@@ -313,7 +325,7 @@
                     allowed_s=None,
                     resume_after=item.last_event,
                 ) as answer:
-                    end = await _collect(running, answer)
+                    outcome = await _receive_events(running, answer)
             except UpstreamBrokeError as error:
                 running.disconnected = error.disconnected
                 _log.info(
@@ -322,11 +334,13 @@
                     upstream=state.id,
                     reason=str(error),
                 )
-                return ItemEnd.BROKEN
-        return end
+                return ItemAttemptOutcome.BROKEN
+        return outcome
 
     @contextlib.contextmanager
-    def _watched(self, running: Running, attempt: Attempt) -> Iterator[None]:
+    def _abandonment_recorded(
+        self, running: RunningItem, attempt: Attempt
+    ) -> Iterator[None]:
         """Notes a run that was left before its upstream had ended it."""
         try:
             yield
@@ -334,7 +348,7 @@
             cut = running.scope.cancel_called
             silent = running.stall.cancelled_caught
             if attempt.state is AttemptState.SENT and (silent or cut):
-                running.silent_since = running.heard_at if silent else None
+                running.stalled_since = running.heard_at if silent else None
                 self.silent_runs.left(
                     running.state,
                     RunKind.ITEM,
@@ -379,7 +393,9 @@
             running.scope.cancel()
 
 
-async def _collect(running: Running, answer: UpstreamAnswer) -> ItemEnd:
+async def _receive_events(
+    running: RunningItem, answer: UpstreamAnswer
+) -> ItemAttemptOutcome:
     """Takes an item's events and returns how the run ended.
 
     Raises:
@@ -388,13 +404,13 @@
     item = running.item
     if answer.other_instance:
         running.state.gone = True
-        return ItemEnd.NOT_RUN
+        return ItemAttemptOutcome.NOT_RUN
     if answer.refused:
-        return ItemEnd.NOT_RUN
+        return ItemAttemptOutcome.NOT_RUN
     if answer.status == _UNPROCESSABLE:
-        return ItemEnd.IMPOSSIBLE
+        return ItemAttemptOutcome.IMPOSSIBLE
     if answer.status == _FAILED:
-        return ItemEnd.FAILED
+        return ItemAttemptOutcome.FAILED
     if answer.status != 200:
         raise UpstreamBrokeError(f"the upstream answered {answer.status}")
     if not is_event_stream(answer):
@@ -419,9 +435,9 @@
     # Any empty answer would else pass for a run that went on after the last event.
     if not sequence.length and media_type != item.media_type:
         raise UpstreamBrokeError("what was to go on with a stream is of another kind")
-    return ItemEnd.COMPLETE
+    return ItemAttemptOutcome.COMPLETE
 
 
-def _judge_failure(state: UpstreamState, attempt: Attempt) -> None:
+def _record_failure(state: UpstreamState, attempt: Attempt) -> None:
     reached = attempt.state is not AttemptState.QUEUED
     state.failed(trio.current_time(), reached=reached)
--- a/src/coppercleat/jobs/_pace.py
+++ b/src/coppercleat/jobs/_pace.py
@@ -1,40 +1,49 @@
-"""Estimates how long an item still takes, from items that have ended."""
+"""Estimates the remaining run time of items from earlier runs."""
 
 from __future__ import annotations
 
 _SMOOTHING = 0.1
-"""Weight of the newest item; some ten items decide."""
+"""Weight of the newest sample in the exponential moving averages."""
 
-_FIRST_EVENTS = 150.0
-_FIRST_EVENT_S = 0.02
-"""Guesses until the first items have ended."""
+_INITIAL_EVENTS = 150.0
+_INITIAL_EVENT_INTERVAL_S = 0.02
+"""Estimates used before any item has run."""
 
-_START_S = 0.08
-"""From sending an item to its first event: connecting, reading the prompt, a step."""
+_FIRST_EVENT_DELAY_S = 0.08
+"""Time to first event: connecting, prompt processing and one decoding step."""
 
 
 class ItemPace:
-    """Smoothed length of items and time between their events.
+    """Moving averages of the length of items and the interval between events.
 
     Attributes:
-      events: Events of an item.
-      event_s: Seconds between events.
+      events: Mean number of events of an item.
+      interval_s: Mean seconds between two events of a run.
     """
 
     def __init__(self) -> None:
-        self.events = _FIRST_EVENTS
-        self.event_s = _FIRST_EVENT_S
+        self.events = _INITIAL_EVENTS
+        self.interval_s = _INITIAL_EVENT_INTERVAL_S
 
     def observe_run(self, *, events: int, seconds: float) -> None:
-        """Takes a run that made so many events in so many seconds."""
+        """Adds a run to the mean event interval.
+
+        Args:
+          events: Events received in the run; a run without events is ignored.
+          seconds: Duration of the run.
+        """
         if events:
-            self.event_s += _SMOOTHING * (seconds / events - self.event_s)
+            self.interval_s += _SMOOTHING * (seconds / events - self.interval_s)
 
     def observe_item(self, *, events: int) -> None:
-        """Takes an item that is whole."""
+        """Adds a completed item to the mean number of events."""
         self.events += _SMOOTHING * (events - self.events)
 
-    def seconds_left(self, events_made: int) -> float:
-        """Returns how long an item takes from now, if it starts at once."""
-        left = max(1.0, self.events - events_made)
-        return _START_S + left * self.event_s
+    def seconds_left(self, events_received: int) -> float:
+        """Returns the estimated seconds that an item needs if it starts now.
+
+        Args:
+          events_received: Events that earlier runs of the item delivered.
+        """
+        left = max(1.0, self.events - events_received)
+        return _FIRST_EVENT_DELAY_S + left * self.interval_s
--- a/src/coppercleat/jobs/_records.py
+++ b/src/coppercleat/jobs/_records.py
@@ -28,7 +28,7 @@
 SLICE_BYTES = 45_000
 """A row's value holds 65,536 bytes in base64, which is 49,152 raw."""
 
-MAX_SLICES = 14
+MAX_INPUT_SLICES = 14
 """Slices of input in the accepting transaction, which holds 1 MB in base64;
 a larger job's input becomes an object."""
 
@@ -125,7 +125,7 @@
     unlisted: tuple[int, ...]
 
 
-class PartialRow(msgspec.Struct, frozen=True, kw_only=True):
+class CheckpointRow(msgspec.Struct, frozen=True, kw_only=True):
     """What a running item has made so far.
 
     Attributes:
@@ -161,7 +161,7 @@
     return f"{key}/{slice_index:02d}" if slice_index else key
 
 
-def results_before(job: JobId, position: int) -> str:
+def results_start_key(job: JobId, position: int) -> str:
     """Returns a key past all results before a position."""
     return f"result/{job}/{position - 1:06d}~" if position else ""
 
@@ -171,7 +171,7 @@
     return f"result/{job}/~"
 
 
-def partial_key(job: JobId, index: int) -> str:
+def checkpoint_key(job: JobId, index: int) -> str:
     """Returns the key of a running item's events."""
     return f"partial/{job}/{index:04d}"
 
--- a/src/coppercleat/jobs/_repository.py
+++ b/src/coppercleat/jobs/_repository.py
@@ -10,23 +10,23 @@
 from coppercleat.errors import CoppercleatError, PlatformUnavailableError
 from coppercleat.ids import JobId, random_token
 from coppercleat.jobs._records import (
-    MAX_SLICES,
+    MAX_INPUT_SLICES,
     NOBODY,
     SLICE_BYTES,
+    CheckpointRow,
     EndRow,
     ItemSpec,
     ItemState,
     JobRow,
-    PartialRow,
     QuotaRow,
     ResultRow,
+    checkpoint_key,
     end_key,
     input_key,
     job_key,
-    partial_key,
     quota_key,
     result_key,
-    results_before,
+    results_start_key,
 )
 from coppercleat.observability import part_logger
 from coppercleat.serving import Route
@@ -46,9 +46,9 @@
 """Text of results in one answer; a caller is promised at most 1 MB."""
 
 _READ_ROWS = 60
-_ACCEPT_TRIES = 5
-_END_TRIES = 8
-_MAX_PARTIAL_BYTES = 400_000
+_MAX_ACCEPT_ATTEMPTS = 5
+_MAX_END_ATTEMPTS = 8
+_MAX_CHECKPOINT_BYTES = 400_000
 """Events kept in one transaction, which holds 1 MB in base64."""
 
 _MAX_COMMIT_BYTES = 500_000
@@ -150,23 +150,25 @@
         key = job_key(submission.job)
         quota = quota_key(route.prefix)
         now = self.clock()
-        stored, row = await self._store_input(submission, route, owner=owner, now=now)
+        input_puts, row = await self._store_input(
+            submission, route, owner=owner, now=now
+        )
         tokens = sum(row.tokens)
         limited = route.max_waiting_tokens > 0
         known = [quota] if limited else []
-        for _ in range(_ACCEPT_TRIES):
+        for _ in range(_MAX_ACCEPT_ATTEMPTS):
             rows = await self.platform.read(known, part=submission.host)
             if key in rows:
-                await self._drop_input(row)
-                return _held(rows[key])
+                await self._delete_input_object(row)
+                return _stored_job(rows[key])
             checks = [Check(key, ABSENT)]
-            puts = [Put(key, msgspec.json.encode(row)), *stored]
+            puts = [Put(key, msgspec.json.encode(row)), *input_puts]
             if limited:
                 accepted, version = _quota(rows.get(quota))
                 finished = finished_tokens(submission.host, route.prefix)
                 waiting = max(0, accepted - finished)
                 if waiting + tokens > route.max_waiting_tokens * (1 + tolerance):
-                    await self._drop_input(row)
+                    await self._delete_input_object(row)
                     return OverQuota(waiting)
                 checks.append(Check(quota, version))
                 opened = QuotaRow(accepted_tokens=accepted + tokens)
@@ -188,7 +190,7 @@
             packed[i : i + SLICE_BYTES] for i in range(0, len(packed), SLICE_BYTES)
         ]
         name = ""
-        if len(slices) > MAX_SLICES:
+        if len(slices) > MAX_INPUT_SLICES:
             name = f"input-{submission.job}-{random_token(self.rng)}"
             try:
                 await self.platform.put_object(name, packed)
@@ -211,7 +213,7 @@
         )
         return puts, row
 
-    async def _drop_input(self, row: JobRow) -> None:
+    async def _delete_input_object(self, row: JobRow) -> None:
         """Removes the object of a submission that was not accepted as it is."""
         if not row.input_object:
             return
@@ -226,7 +228,7 @@
         """Returns a job, None if there is none."""
         rows = await self.platform.read([job_key(job)], part=host)
         row = rows.get(job_key(job))
-        return _held(row) if row else None
+        return _stored_job(row) if row else None
 
     async def items(self, row: JobRow) -> list[ItemSpec]:
         """Returns a job's items."""
@@ -241,15 +243,15 @@
             packed = b"".join(slice_row.value for _, slice_row in found)
         return msgspec.msgpack.decode(packed, type=list[ItemSpec])
 
-    async def partials(self, row: JobRow) -> dict[int, PartialRow]:
+    async def checkpoints(self, row: JobRow) -> dict[int, CheckpointRow]:
         """Returns what running items had made when it was last kept."""
         prefix = f"partial/{row.job}/"
         found = await self.platform.scan(prefix, part=row.host)
         return {
             int(key.removeprefix(prefix)): msgspec.msgpack.decode(
-                partial.value, type=PartialRow
+                checkpoint.value, type=CheckpointRow
             )
-            for key, partial in found
+            for key, checkpoint in found
         }
 
     async def results(
@@ -262,7 +264,7 @@
         """
         found = await self.platform.scan(
             f"result/{job}/",
-            after=results_before(job, after),
+            after=results_start_key(job, after),
             limit=_READ_ROWS,
             part=host,
         )
@@ -305,13 +307,13 @@
 
     async def take(self, held: Held, *, owner: str) -> Held | Superseded:
         """Makes another the owner of a job, or nobody."""
-        return await self._change(held, msgspec.structs.replace(held.row, owner=owner))
+        return await self._update(held, msgspec.structs.replace(held.row, owner=owner))
 
     async def commit(
         self,
         held: Held,
         finished: Sequence[Finished],
-        partials: dict[int, PartialRow],
+        checkpoints: dict[int, CheckpointRow],
         *,
         owner: str | None = None,
     ) -> Held | Superseded:
@@ -320,7 +322,7 @@
         Args:
           held: The job as it was last seen.
           finished: Items to list next, in order.
-          partials: By item index.
+          checkpoints: By item index.
           owner: The new owner; None for the same.
         """
         row = held.row
@@ -329,12 +331,12 @@
         for position, item in enumerate(finished, len(row.listed)):
             puts += _result_puts(row.job, position, item)
         puts += [
-            Put(partial_key(row.job, index), msgspec.msgpack.encode(partial))
-            for index, partial in partials.items()
+            Put(checkpoint_key(row.job, index), msgspec.msgpack.encode(checkpoint))
+            for index, checkpoint in checkpoints.items()
         ]
         owner = row.owner if owner is None else owner
         changed = msgspec.structs.replace(row, listed=listed, owner=owner)
-        return await self._change(held, changed, puts)
+        return await self._update(held, changed, puts)
 
     async def end(self, host: str, job: JobId) -> bool:
         """Ends a job for its client; returns whether there is one.
@@ -342,7 +344,7 @@
         What is not listed is listed as cancelled from then on, by one more row in the
         same transaction.
         """
-        for _ in range(_END_TRIES):
+        for _ in range(_MAX_END_ATTEMPTS):
             held = await self.find(host, job)
             if held is None:
                 return False
@@ -351,14 +353,14 @@
             ended = msgspec.structs.replace(held.row, ended=True, owner=NOBODY)
             left = [Put(end_key(job), msgspec.json.encode(_end_row(held.row)))]
             try:
-                if isinstance(await self._change(held, ended, left), Held):
+                if isinstance(await self._update(held, ended, left), Held):
                     return True
             except AnswerLostError:
                 # The job as it is now tells whether it has ended.
                 continue
         raise PlatformUnavailableError(f"The job {job} changes too often")
 
-    async def _change(
+    async def _update(
         self, held: Held, row: JobRow, puts: Iterable[Put] = ()
     ) -> Held | Superseded:
         key = job_key(row.job)
@@ -374,7 +376,7 @@
         return Held(row, answer[key])
 
 
-def fits_one_commit(finished: Sequence[Finished]) -> int:
+def commit_batch_size(finished: Sequence[Finished]) -> int:
     """Returns how many of the items fit into one transaction, at least one."""
     size = 0
     for count, item in enumerate(finished):
@@ -384,15 +386,17 @@
     return len(finished)
 
 
-def bounded_partials(partials: dict[int, PartialRow]) -> dict[int, PartialRow]:
+def limit_checkpoints(
+    checkpoints: dict[int, CheckpointRow],
+) -> dict[int, CheckpointRow]:
     """Leaves out what does not fit into a row or into one transaction."""
-    kept: dict[int, PartialRow] = {}
+    kept: dict[int, CheckpointRow] = {}
     total = 0
-    for index, partial in partials.items():
-        size = sum(len(event) + 8 for event in partial.events)
-        if size > SLICE_BYTES or total + size > _MAX_PARTIAL_BYTES:
+    for index, checkpoint in checkpoints.items():
+        size = sum(len(event) + 8 for event in checkpoint.events)
+        if size > SLICE_BYTES or total + size > _MAX_CHECKPOINT_BYTES:
             continue
-        kept[index] = partial
+        kept[index] = checkpoint
         total += size
     return kept
 
@@ -406,7 +410,7 @@
     return EndRow(unlisted=tuple(i for i in range(row.total) if i not in listed))
 
 
-def _held(row: Row) -> Held:
+def _stored_job(row: Row) -> Held:
     return Held(decode_row(row, JobRow), row.version)
 
 
--- a/src/coppercleat/jobs/_run.py
+++ b/src/coppercleat/jobs/_run.py
@@ -1,4 +1,4 @@
-"""One job in the hands of its owner: what is pending, running and done."""
+"""State of one job at the instance that owns it."""
 
 from __future__ import annotations
 
@@ -7,14 +7,23 @@
 import attrs
 
 from coppercleat.ids import RequestId, UpstreamId
-from coppercleat.jobs._records import ItemSpec, ItemState, PartialRow
+from coppercleat.jobs._records import CheckpointRow, ItemSpec, ItemState
 from coppercleat.jobs._repository import Finished, Held
 from coppercleat.quarantine import Verdict
 from coppercleat.serving import EVENT_STREAM, ItemEvents, OnlineRequest
 
 
-class ItemEnd(enum.Enum):
-    """How a run of an item ended."""
+class ItemAttemptOutcome(enum.Enum):
+    """How an attempt of an item at an upstream ended.
+
+    Attributes:
+      COMPLETE: The response was received whole.
+      YIELDED: The attempt was cancelled: preempted, or its job was stopped.
+      NOT_RUN: The upstream refused the item; it did not run.
+      BROKEN: The response was interrupted, stalled or invalid.
+      FAILED: The upstream ran the item and reported a failure.
+      IMPOSSIBLE: The upstream reported that the item cannot be processed.
+    """
 
     COMPLETE = "complete"
     YIELDED = "yielded"
@@ -25,40 +34,43 @@
 
 
 @attrs.define(kw_only=True)
-class Barred:
-    """Why an item is kept from running, since upstreams ended under it.
+class QuarantineState:
+    """Why an item may not run after upstreams crashed while running it.
 
     Attributes:
-      since: In trio's time.
-      until: When it may run as things are, in trio's time.
+      verdict: The latest verdict on the item.
+      since: When the quarantine began, in trio time.
+      until: When the item may run unless the verdict changes, in trio time.
     """
 
     verdict: Verdict
     since: float
     until: float
 
-    def is_news(self, verdict: Verdict) -> bool:
-        """Returns whether a later verdict differs by more than the time left."""
+    def differs_from(self, verdict: Verdict) -> bool:
+        """Returns whether a verdict differs in kind or in the number of crashes."""
         before = (self.verdict.standing, self.verdict.ends)
         return (verdict.standing, verdict.ends) != before
 
 
 @attrs.define(eq=False, kw_only=True)
-class ItemRun:
-    """One item and what it has made so far.
+class ItemProgress:
+    """An item that is not listed yet, and its progress.
 
     Attributes:
-      events: Data of the events so far.
-      last_event: Number of the last one; None before the first.
-      media_type: Of the last run that brought events; one that is not known here, as
-        after a takeover, was an event stream.
-      failures: Runs that the upstream answered with a failure.
-      kept_events: How many events the platform keeps.
-      kept_failures: How many failures it knows.
-      upstream: Where it runs now; empty if it does not.
-      not_before: When it may run again, in trio's time.
-      request: What its upstreams get, once that was worked out.
-      barred: Why it is kept from running, since its upstreams ended; None if it is not.
+      index: Position of the item in the submission.
+      spec: The item as submitted.
+      events: Data of the events received so far.
+      last_event: Number of the last event; None before the first.
+      media_type: Media type of the last attempt that delivered events. It is not in the
+        checkpoint: after a takeover it is assumed to be an event stream.
+      failures: Attempts that the upstream answered with a failure.
+      checkpointed_events: Length of ``events`` in the last stored checkpoint.
+      checkpointed_failures: ``failures`` in the last stored checkpoint.
+      upstream: Where the item runs; empty if it does not run.
+      not_before: When the item may run again, in trio time.
+      request: The request for upstreams; built on first use.
+      quarantine: Why the item may not run; None if it is not quarantined.
     """
 
     index: int
@@ -67,84 +79,86 @@
     last_event: int | None = None
     media_type: bytes = EVENT_STREAM
     failures: int = 0
-    kept_events: int = 0
-    kept_failures: int = 0
+    checkpointed_events: int = 0
+    checkpointed_failures: int = 0
     upstream: UpstreamId = UpstreamId("")
     not_before: float = 0.0
     request: OnlineRequest | None = None
-    barred: Barred | None = None
+    quarantine: QuarantineState | None = None
 
-    def finished(self, state: ItemState) -> Finished:
-        """Returns the item as it is to be listed."""
+    def as_finished(self, state: ItemState) -> Finished:
+        """Returns the item with its final state and its result."""
         text = b"\n".join(self.events) if state is ItemState.COMPLETED else b""
         return Finished(index=self.index, item=self.spec.id, state=state, text=text)
 
-    def take_over(self, made: ItemEvents) -> None:
-        """Goes on from what another instance had made, where that is more."""
-        self.failures = max(self.failures, made.failures)
-        if len(made.events) > len(self.events):
-            self.events = list(made.events)
-            self.last_event = made.last_event
+    def apply_handover(self, progress: ItemEvents) -> None:
+        """Adopts the progress made at the previous owner if it is further ahead."""
+        self.failures = max(self.failures, progress.failures)
+        if len(progress.events) > len(self.events):
+            self.events = list(progress.events)
+            self.last_event = progress.last_event
 
-    def partial(self) -> PartialRow:
-        """Returns what is to be kept of it."""
-        return PartialRow(
+    def checkpoint(self) -> CheckpointRow:
+        """Returns a checkpoint of the item."""
+        return CheckpointRow(
             last_event=self.last_event or 0,
             events=list(self.events),
             failures=self.failures,
         )
 
-    def restore(self, partial: PartialRow) -> None:
-        """Goes on from what was kept."""
-        self.failures = self.kept_failures = partial.failures
-        if partial.events:
-            self.events = list(partial.events)
-            self.last_event = partial.last_event
-            self.kept_events = len(self.events)
+    def restore(self, checkpoint: CheckpointRow) -> None:
+        """Resumes the item from a checkpoint."""
+        self.failures = self.checkpointed_failures = checkpoint.failures
+        if checkpoint.events:
+            self.events = list(checkpoint.events)
+            self.last_event = checkpoint.last_event
+            self.checkpointed_events = len(self.events)
 
 
 class JobRun:
     """All items of a job that are not listed yet.
 
+    An item is listed once its result is committed to the job's list of results.
+
     Attributes:
       held: The job's row as last read or written.
-      pending: Items that wait for a slot, in order.
+      pending: Items that wait for a slot, ordered by index.
       running: Items at upstreams, by index.
-      finished: Items done and not yet listed.
-      forecast_late: Whether it has been said that some will be late.
+      finished: Items whose results are still to be committed.
+      lateness_logged: Whether the warning that the job will be late was logged.
     """
 
     def __init__(
-        self, held: Held, items: list[ItemSpec], partials: dict[int, PartialRow]
+        self, held: Held, items: list[ItemSpec], checkpoints: dict[int, CheckpointRow]
     ) -> None:
         self.held = held
-        self.pending: list[ItemRun] = []
-        self.running: dict[int, ItemRun] = {}
+        self.pending: list[ItemProgress] = []
+        self.running: dict[int, ItemProgress] = {}
         self.finished: list[Finished] = []
-        self.forecast_late = False
+        self.lateness_logged = False
         listed = set(held.row.listed)
         for index, spec in enumerate(items):
             if index in listed:
                 continue
-            item = ItemRun(index=index, spec=spec)
-            if index in partials:
-                item.restore(partials[index])
+            item = ItemProgress(index=index, spec=spec)
+            if index in checkpoints:
+                item.restore(checkpoints[index])
             self.pending.append(item)
 
     @property
     def due_at(self) -> float:
-        """When the job is due, in Unix seconds."""
+        """When all items should be finished, in Unix seconds."""
         return self.held.row.due_at
 
     @property
     def all_listed(self) -> bool:
-        """Whether nothing is left to do."""
+        """Whether every item is listed."""
         return not (self.pending or self.running or self.finished)
 
-    def request_of(self, item: ItemRun) -> OnlineRequest:
-        """Returns an item as the request that an upstream gets.
+    def request_of(self, item: ItemProgress) -> OnlineRequest:
+        """Returns the request that an upstream gets for an item.
 
-        It is kept with the item, since its fingerprint is asked for at each look.
+        It is cached with the item: every scheduling pass needs its fingerprint.
         """
         if item.request is None:
             item.request = OnlineRequest(
@@ -158,63 +172,77 @@
             )
         return item.request
 
-    def startable(self, now: float) -> list[ItemRun]:
-        """Returns the items that wait for nothing but a slot.
+    def startable(self, now: float) -> list[ItemProgress]:
+        """Returns the pending items that could run if there were a free slot.
 
         Args:
-          now: In trio's time.
+          now: Current trio time.
         """
         return [
             item
             for item in self.pending
             if item.not_before <= now
-            # It is only looked at again and again.
-            and (item.barred is None or item.barred.until <= now)
+            # ``not_before`` of a quarantined item is only its next recheck.
+            and (item.quarantine is None or item.quarantine.until <= now)
         ]
 
-    def start(self, item: ItemRun, upstream: UpstreamId) -> None:
+    def start(self, item: ItemProgress, upstream: UpstreamId) -> None:
         """Moves an item from pending to running."""
         self.pending.remove(item)
-        item.barred = None
+        item.quarantine = None
         item.upstream = upstream
         self.running[item.index] = item
 
     def stop(
-        self, item: ItemRun, end: ItemEnd, *, max_attempts: int, not_before: float
+        self,
+        item: ItemProgress,
+        outcome: ItemAttemptOutcome,
+        *,
+        max_attempts: int,
+        not_before: float,
     ) -> None:
-        """Moves an item on after a run."""
+        """Records the outcome of an attempt: the item is finished or becomes pending.
+
+        Args:
+          item: The item.
+          outcome: How the attempt ended.
+          max_attempts: Failures after which the item is finished as failed.
+          not_before: When the item may run again, in trio time.
+        """
         self.running.pop(item.index, None)
         item.upstream = UpstreamId("")
         item.not_before = not_before
-        if end is ItemEnd.FAILED:
+        if outcome is ItemAttemptOutcome.FAILED:
             item.failures += 1
-        if end is ItemEnd.COMPLETE:
-            self.finished.append(item.finished(ItemState.COMPLETED))
-        elif end is ItemEnd.IMPOSSIBLE or item.failures >= max(1, max_attempts):
-            self.finished.append(item.finished(ItemState.FAILED))
+        if outcome is ItemAttemptOutcome.COMPLETE:
+            self.finished.append(item.as_finished(ItemState.COMPLETED))
+        elif outcome is ItemAttemptOutcome.IMPOSSIBLE or item.failures >= max(
+            1, max_attempts
+        ):
+            self.finished.append(item.as_finished(ItemState.FAILED))
         else:
             self.pending.append(item)
             self.pending.sort(key=lambda waiting: waiting.index)
 
-    def fail_all(self) -> None:
-        """Lists all that is pending as failed."""
-        self.finished += [item.finished(ItemState.FAILED) for item in self.pending]
+    def fail_pending(self) -> None:
+        """Finishes all pending items as failed."""
+        self.finished += [item.as_finished(ItemState.FAILED) for item in self.pending]
         self.pending.clear()
 
-    def take_over(self, items: list[ItemEvents]) -> None:
-        """Goes on from what the owner before had made since it was last kept."""
+    def apply_handover(self, items: list[ItemEvents]) -> None:
+        """Adopts progress that the previous owner made after its last checkpoint."""
         pending = {item.index: item for item in self.pending}
-        for made in items:
-            item = pending.get(made.index)
+        for progress in items:
+            item = pending.get(progress.index)
             if item is None:
                 continue
-            item.take_over(made)
-            if made.complete:
+            item.apply_handover(progress)
+            if progress.complete:
                 self.pending.remove(item)
-                self.finished.append(item.finished(ItemState.COMPLETED))
+                self.finished.append(item.as_finished(ItemState.COMPLETED))
 
-    def made(self) -> list[ItemEvents]:
-        """Returns what has been made of items that are not listed."""
+    def progress(self) -> list[ItemEvents]:
+        """Returns the progress of all items that are not listed."""
         found = [
             ItemEvents(
                 item.index, item.last_event or 0, item.events, item.failures, False
@@ -228,19 +256,24 @@
                 found.append(ItemEvents(done.index, 0, events, 0, True))
         return found
 
-    def unkept(self, least_events: int) -> dict[int, PartialRow]:
-        """Returns what to keep of items with that many events not kept yet."""
-        kept = {}
+    def new_checkpoints(self, min_new_events: int) -> dict[int, CheckpointRow]:
+        """Returns checkpoints, by item index, of items with enough progress to store.
+
+        Args:
+          min_new_events: New events since the last checkpoint that are worth a write;
+            a new failure always is.
+        """
+        checkpoints = {}
         for item in [*self.running.values(), *self.pending]:
-            grown = len(item.events) - item.kept_events
-            failed = item.failures > item.kept_failures
-            if (item.events and grown >= least_events) or failed:
-                kept[item.index] = item.partial()
-        return kept
-
-    def note_kept(self, partials: dict[int, PartialRow]) -> None:
-        """Notes that the platform keeps these events."""
+            new_events = len(item.events) - item.checkpointed_events
+            failed = item.failures > item.checkpointed_failures
+            if (item.events and new_events >= min_new_events) or failed:
+                checkpoints[item.index] = item.checkpoint()
+        return checkpoints
+
+    def record_checkpoints(self, checkpoints: dict[int, CheckpointRow]) -> None:
+        """Marks checkpoints as stored."""
         for item in [*self.running.values(), *self.pending]:
-            if item.index in partials:
-                item.kept_events = len(partials[item.index].events)
-                item.kept_failures = partials[item.index].failures
+            if item.index in checkpoints:
+                item.checkpointed_events = len(checkpoints[item.index].events)
+                item.checkpointed_failures = checkpoints[item.index].failures
--- a/src/coppercleat/jobs/_schedule.py
+++ b/src/coppercleat/jobs/_schedule.py
@@ -1,4 +1,4 @@
-"""Whose turn it is: which item of which job is started next."""
+"""Order in which items of several jobs are started."""
 
 from __future__ import annotations
 
@@ -6,53 +6,54 @@
 
 import attrs
 
-from coppercleat.jobs._run import ItemRun, JobRun
+from coppercleat.jobs._run import ItemProgress, JobRun
 from coppercleat.serving import Route
 
 
 @attrs.define(frozen=True)
-class Turn:
+class Candidate:
     """An item that may be started now.
 
     Attributes:
-      late: Whether it cannot be done by its job's due time.
+      late: Whether the item cannot finish by its job's due time.
     """
 
     run: JobRun
-    item: ItemRun
+    item: ItemProgress
     route: Route
     late: bool
 
     @property
-    def place(self) -> tuple[bool, float, int]:
-        """Its place in the order; what is late anyway comes last."""
+    def sort_key(self) -> tuple[bool, float, int]:
+        """Sorts late items last, then by due time and by index."""
         return self.late, self.run.due_at, self.item.index
 
 
 def next_turns(
     runs: Iterable[tuple[JobRun, Route]],
     *,
-    seconds_left: Callable[[ItemRun], float],
+    seconds_left: Callable[[ItemProgress], float],
     now: float,
     wall: float,
-) -> list[Turn]:
+) -> list[Candidate]:
     """Returns the next item of each job, in the order in which they get slots.
 
-    Items that can still be done in time come first, those due soonest before others.
+    Items that can still finish in time come first; among these, earliest due time
+    first.
 
     Args:
       runs: Jobs with their routes.
-      seconds_left: Returns how long an item takes from now.
-      now: Seconds on this instance's clock.
-      wall: Unix time in seconds.
+      seconds_left: Estimates how many seconds an item needs if it starts now.
+      now: Current trio time.
+      wall: Current Unix time, in seconds.
     """
-    turns = []
+    candidates = []
     for run, route in runs:
-        of_run = [
-            Turn(run, item, route, wall + seconds_left(item) > run.due_at)
+        eligible = [
+            Candidate(run, item, route, wall + seconds_left(item) > run.due_at)
             for item in run.pending
             if item.not_before <= now
         ]
-        if of_run:
-            turns.append(min(of_run, key=lambda turn: turn.place))
-    return sorted(turns, key=lambda turn: turn.place)
+        if eligible:
+            candidates.append(min(eligible, key=lambda candidate: candidate.sort_key))
+    return sorted(candidates, key=lambda candidate: candidate.sort_key)
--- a/src/coppercleat/jobs/_still_jobs.py
+++ b/src/coppercleat/jobs/_stalled_jobs.py
@@ -9,38 +9,38 @@
 from coppercleat.ids import JobId
 from coppercleat.jobs._repository import Held
 
-STILL_S = 8.0
+STALLED_AFTER_S = 8.0
 """A job whose row has not changed for so long stands still. What its items make is kept
 every 1.5 s while they run, and a takeover is over within some 5 s."""
 
-SAY_AGAIN_S = 10.0
+REPORT_INTERVAL_S = 10.0
 """How often it is said of one job; an operator who looks finds a line of the moment."""
 
-LOOK_EVERY_S = 1.0
-MOST_LINES = 5
+CHECK_INTERVAL_S = 1.0
+MAX_REPORTS = 5
 """Jobs said at one look: a backlog of thousands must not crowd out other lines."""
 
 
 @attrs.define
-class _Sight:
+class _Observation:
     """A job as last seen.
 
     Attributes:
       since: When this version was first seen.
-      said_at: When it was last asked whether to say that the job stands still.
+      reported_at: When it was last asked whether to say that the job stands still.
     """
 
     version: int
     since: float
-    said_at: float = float("-inf")
+    reported_at: float = float("-inf")
 
 
 class StillJobs:
     """Remembers since when each open job's row is as it is."""
 
     def __init__(self) -> None:
-        self._sights: dict[JobId, _Sight] = {}
-        self._looked_at = float("-inf")
+        self._observations: dict[JobId, _Observation] = {}
+        self._checked_at = float("-inf")
 
     def look(
         self,
@@ -54,24 +54,28 @@
         Args:
           jobs: All jobs as known here.
           is_ours_to_say: Tells whether this instance speaks of a job; asked of one that
-            stands still, once in ``SAY_AGAIN_S``.
+            stands still, once in ``REPORT_INTERVAL_S``.
           now: Seconds on this instance's clock.
         """
-        if now - self._looked_at < LOOK_EVERY_S:
+        if now - self._checked_at < CHECK_INTERVAL_S:
             return []
-        self._looked_at = now
-        before, self._sights = self._sights, {}
-        still: list[tuple[Held, float]] = []
+        self._checked_at = now
+        before, self._observations = self._observations, {}
+        stalled: list[tuple[Held, float]] = []
         for held in jobs:
             if not held.row.open:
                 continue
-            sight = before.get(held.row.job)
-            if sight is None or sight.version != held.version:
-                sight = _Sight(held.version, now)
-            self._sights[held.row.job] = sight
-            due = now - sight.said_at >= SAY_AGAIN_S
-            if now - sight.since >= STILL_S and due and len(still) < MOST_LINES:
-                sight.said_at = now
+            observation = before.get(held.row.job)
+            if observation is None or observation.version != held.version:
+                observation = _Observation(held.version, now)
+            self._observations[held.row.job] = observation
+            due = now - observation.reported_at >= REPORT_INTERVAL_S
+            if (
+                now - observation.since >= STALLED_AFTER_S
+                and due
+                and len(stalled) < MAX_REPORTS
+            ):
+                observation.reported_at = now
                 if is_ours_to_say(held):
-                    still.append((held, now - sight.since))
-        return still
+                    stalled.append((held, now - observation.since))
+        return stalled
--- a/src/coppercleat/jobs/_starter.py
+++ b/src/coppercleat/jobs/_starter.py
@@ -1,4 +1,4 @@
-"""Starts items of this instance's jobs whenever a slot is free, in their order."""
+"""Starts items of this instance's jobs, in order, whenever a slot is free."""
 
 from __future__ import annotations
 
@@ -7,41 +7,41 @@
 import trio
 
 from coppercleat.ids import JobId
-from coppercleat.jobs._items import ItemRunner, Running
-from coppercleat.jobs._run import ItemRun, JobRun
-from coppercleat.jobs._schedule import Turn, next_turns
+from coppercleat.jobs._items import ItemRunner, RunningItem
+from coppercleat.jobs._run import ItemProgress, JobRun
+from coppercleat.jobs._schedule import Candidate, next_turns
 from coppercleat.observability import part_logger
 from coppercleat.serving import Rank, Route, RouteTable, Waiting
 
-JOBS_STALE_S = 2.0
-"""With a view of the jobs older than this no item is started: the job may have ended
-or have another owner."""
+MAX_INDEX_AGE_S = 2.0
+"""Items start only while the job index is fresher than this; otherwise their job may
+have been cancelled or taken over unnoticed."""
 
 EXPIRY_MARGIN_S = 10.0
-"""Items are given up so much later than they may be: the clocks of the instance that
-accepted a job and of the one that runs it may differ by seconds."""
+"""Grace after a job's expiry before its items fail: the clocks of the instance that
+accepted the job and of its owner may differ by seconds."""
 
-_TICK_S = 0.02
-"""Pause between looks for a free slot while items wait; their ends are told at once,
-those of other instances' requests are not."""
+_SLOT_POLL_S = 0.02
+"""Poll interval for free slots while items wait. The end of a local run wakes the
+starter at once; slots freed by other instances are seen only by polling."""
 
-_IDLE_TICK_S = 0.2
+_IDLE_POLL_S = 0.2
 
 _FAILED_RETRY_S = 0.1
-"""When an item that has failed looks again for a slot at an upstream that does not."""
+"""Delay before a failed item that found no healthy upstream is tried again."""
 
-_GATHER_EVERY_S = 0.03
-"""How often what waits is gathered: all items are looked at, and counts are told up to
-some hundred times a second."""
+_WAITING_CACHE_S = 0.03
+"""How long the list of waiting items is reused: building it visits every pending item,
+and it is announced up to some hundred times a second."""
 
-MAX_TOLD_JOBS = 32
-"""Jobs of whose waiting items others are told, those due soonest first."""
+MAX_ANNOUNCED_ENTRIES = 32
+"""Maximum entries of waiting items announced to other instances, earliest due first."""
 
 _log = part_logger("jobs")
 
 
 class ItemStarter:
-    """Finds slots for the items of jobs."""
+    """Assigns free slots to the pending items of this instance's jobs."""
 
     def __init__(
         self,
@@ -53,15 +53,16 @@
         may_start: Callable[[], bool],
         isolated: Callable[[], bool],
     ) -> None:
-        """Prepares the starter.
+        """Initializes the starter.
 
         Args:
           items: Runs items.
-          runs: This instance's jobs, as they are now.
-          clock: Unix time in seconds.
-          routes: Returns the routes in force.
-          may_start: Tells whether items may be started at all.
-          isolated: Tells whether others must have taken this instance's jobs.
+          runs: Live view of this instance's jobs.
+          clock: Returns the Unix time in seconds.
+          routes: Returns the current route table; None before it is loaded.
+          may_start: Returns whether items may start at all.
+          isolated: Returns whether this instance reaches neither the store nor any
+            other instance, so that others must be assumed to take over its jobs.
         """
         self.items = items
         self.runs = runs
@@ -70,30 +71,31 @@
         self.may_start = may_start
         self.isolated = isolated
         self._wake = trio.Event()
-        self._gathered: tuple[Waiting, ...] = ()
-        self._gathered_at = float("-inf")
+        self._cached_waiting: tuple[Waiting, ...] = ()
+        self._cached_at = float("-inf")
 
     def late_items(self) -> int:
-        """Returns how many waiting items cannot be done by their job's due time."""
+        """Returns how many pending items cannot finish by their job's due time."""
         wall = self.clock()
         return sum(
-            self._late(run.pending, run.due_at - wall) for run in self.runs.values()
+            self._count_late(run.pending, run.due_at - wall)
+            for run in self.runs.values()
         )
 
-    def _late(self, items: list[ItemRun], due_in_s: float) -> int:
+    def _count_late(self, items: list[ItemProgress], due_in_s: float) -> int:
         return sum(self.items.seconds_left(item) > due_in_s for item in items)
 
     def waiting(self) -> tuple[Waiting, ...]:
-        """Returns what waits here for a slot, as of a moment ago, to tell to others."""
+        """Returns the waiting items to announce to other instances; briefly cached."""
         now = trio.current_time()
-        if now - self._gathered_at >= _GATHER_EVERY_S:
-            self._gathered_at = now
-            self._gathered = self._gather()
-        return self._gathered
+        if now - self._cached_at >= _WAITING_CACHE_S:
+            self._cached_at = now
+            self._cached_waiting = self._collect_waiting()
+        return self._cached_waiting
 
-    def _gather(self) -> tuple[Waiting, ...]:
+    def _collect_waiting(self) -> tuple[Waiting, ...]:
         wall, now = self.clock(), trio.current_time()
-        found = []
+        waiting = []
         table = self.routes()
         for run in sorted(self.runs.values(), key=lambda run: run.due_at):
             route = table.match(run.held.row.host, run.held.row.path) if table else None
@@ -101,21 +103,22 @@
                 continue
             service = route.targets[0].service
             due_in_s = run.due_at - wall
-            self._forecast(run, self._late(run.pending, due_in_s), due_in_s)
-            # Slots are left to what is told to wait: not to what may not run yet.
+            self._log_lateness(run, self._count_late(run.pending, due_in_s), due_in_s)
+            # Other instances leave slots to announced items, so that items that may not
+            # run yet are left out.
             startable = run.startable(now)
-            late = self._late(startable, due_in_s)
+            late = self._count_late(startable, due_in_s)
             if len(startable) > late:
                 on_time = len(startable) - late
-                found.append(Waiting(Rank.BATCH, due_in_s, service, on_time))
+                waiting.append(Waiting(Rank.BATCH, due_in_s, service, on_time))
             if late:
-                found.append(Waiting(Rank.BATCH_LATE, due_in_s, service, late))
-        return tuple(found[:MAX_TOLD_JOBS])
+                waiting.append(Waiting(Rank.BATCH_LATE, due_in_s, service, late))
+        return tuple(waiting[:MAX_ANNOUNCED_ENTRIES])
 
-    def _forecast(self, run: JobRun, late: int, due_in_s: float) -> None:
-        """Says once that a job will be late, as soon as that is known."""
-        if late and not run.forecast_late:
-            run.forecast_late = True
+    def _log_lateness(self, run: JobRun, late: int, due_in_s: float) -> None:
+        """Logs, once per job, that some of its items will be late."""
+        if late and not run.lateness_logged:
+            run.lateness_logged = True
             _log.warning(
                 "Job will be late.",
                 job=run.held.row.job,
@@ -124,7 +127,7 @@
             )
 
     def wake(self) -> None:
-        """Notes that there may be an item or a slot."""
+        """Wakes the starter, as there may be a new item or a free slot."""
         self._wake.set()
 
     async def run(self) -> None:
@@ -132,7 +135,8 @@
         async with trio.open_nursery() as nursery:
             while True:
                 if self.isolated():
-                    # What the items have made is kept here: the job may stay ours.
+                    # The items keep their progress, since this instance may remain the
+                    # owner.
                     self.items.stop_all()
                 if self._start_next(nursery):
                     await trio.sleep(0)
@@ -141,81 +145,91 @@
                 self._wake = trio.Event()
 
     async def _wait(self) -> None:
-        soon = trio.current_time() + _IDLE_TICK_S
-        waits = any(run.startable(soon) for run in self.runs.values())
-        with trio.move_on_after(_TICK_S if waits else _IDLE_TICK_S):
+        soon = trio.current_time() + _IDLE_POLL_S
+        has_waiting = any(run.startable(soon) for run in self.runs.values())
+        with trio.move_on_after(_SLOT_POLL_S if has_waiting else _IDLE_POLL_S):
             await self._wake.wait()
 
     def _start_next(self, nursery: trio.Nursery) -> bool:
-        """Starts the item whose turn it is; returns whether the next may be looked for.
+        """Starts at most one item.
 
-        That is so if it has a slot, or is kept from running now.
+        Returns:
+          Whether another pass may start more: an item was started, or blocked items
+          were deferred.
         """
         table = self.routes()
         if table is None or not self.may_start():
             return False
         wall = self.clock()
-        turns = next_turns(
+        candidates = next_turns(
             self._runnable(table, wall),
             seconds_left=self.items.seconds_left,
             now=trio.current_time(),
             wall=wall,
         )
         full: set[str] = set()
-        passed_over = False
-        for turn in turns:
-            if turn.route.name in full:
+        deferred = False
+        for candidate in candidates:
+            if candidate.route.name in full:
                 continue
-            due_in_s = turn.run.due_at - wall
-            verdict = self.items.bar.verdict(turn.run, turn.item)
+            due_in_s = candidate.run.due_at - wall
+            verdict = self.items.item_quarantine.verdict(candidate.run, candidate.item)
             state = None
             if verdict.may_run:
                 state = self.items.find_slot(
-                    turn.route,
-                    turn.item,
-                    late=turn.late,
+                    candidate.route,
+                    candidate.item,
+                    late=candidate.late,
                     due_in_s=due_in_s,
                     verdict=verdict,
                 )
-            if state is None and self.items.bar.holds(turn.route, verdict):
-                self._pass_over(turn, due_in_s)
-                passed_over = True
+            if state is None and self.items.item_quarantine.is_blocked(
+                candidate.route, verdict
+            ):
+                self._defer_blocked(candidate, due_in_s)
+                deferred = True
                 continue
-            turn.item.barred = None
+            candidate.item.quarantine = None
             if state is None:
-                if not turn.late:
-                    self.items.cut_late(wall)
-                if not turn.item.failures:
-                    full.add(turn.route.name)
+                if not candidate.late:
+                    self.items.preempt_late(wall)
+                if not candidate.item.failures:
+                    full.add(candidate.route.name)
                     continue
-                # It may go to few upstreams: the others of its job need not wait.
-                turn.item.not_before = trio.current_time() + _FAILED_RETRY_S
-                passed_over = True
+                # A failed item avoids failing upstreams; its job's other items may run.
+                candidate.item.not_before = trio.current_time() + _FAILED_RETRY_S
+                deferred = True
                 continue
-            running = self.items.claim_slot(turn.run, turn.item, state, verdict)
-            nursery.start_soon(self._run_item, running, turn.route)
+            running = self.items.claim_slot(
+                candidate.run, candidate.item, state, verdict
+            )
+            nursery.start_soon(self._run_item, running, candidate.route)
             return True
-        return passed_over
+        return deferred
 
-    def _pass_over(self, turn: Turn, due_in_s: float) -> None:
-        takes_s = self.items.seconds_left
-        self.items.bar.pass_over(
-            turn.run, turn.route, takes_s=takes_s, due_in_s=due_in_s
+    def _defer_blocked(self, candidate: Candidate, due_in_s: float) -> None:
+        seconds_left = self.items.seconds_left
+        self.items.item_quarantine.defer_blocked(
+            candidate.run, candidate.route, seconds_left=seconds_left, due_in_s=due_in_s
         )
 
     def _runnable(
         self, table: RouteTable, wall: float
     ) -> Iterator[tuple[JobRun, Route]]:
-        """Yields jobs with their routes; gives up items of those past their time."""
+        """Yields jobs with their routes; fails the pending items of expired ones."""
         for run in list(self.runs.values()):
             row = run.held.row
             route = table.match(row.host, row.path)
             if route is not None and wall <= row.expires_at + EXPIRY_MARGIN_S:
                 yield run, route
             elif run.pending:
-                _log.warning("Items given up.", job=row.job, route=route is None)
-                run.fail_all()
+                _log.warning(
+                    "Pending items failed: the job expired or has no route.",
+                    job=row.job,
+                    route=route is None,
+                )
+                run.fail_pending()
 
-    async def _run_item(self, running: Running, route: Route) -> None:
+    async def _run_item(self, running: RunningItem, route: Route) -> None:
         await self.items.run(running, route)
         self.wake()
--- a/src/coppercleat/jobs/_sweep.py
+++ b/src/coppercleat/jobs/_sweep.py
@@ -22,11 +22,11 @@
     decode_row,
 )
 
-SWEEP_EVERY_S = 5.0
-KEEP_MARGIN_S = 60.0
+SWEEP_INTERVAL_S = 5.0
+RETENTION_MARGIN_S = 60.0
 """Kept beyond what was promised: clocks differ, and a reader may be slow."""
 
-_ENTRIES = 90
+_MAX_DELETES = 90
 """Rows deleted by one transaction, which holds 100 entries."""
 
 _log = part_logger("jobs")
@@ -69,14 +69,17 @@
     async def run(self) -> None:
         """Sweeps until cancelled."""
         while True:
-            await trio.sleep(SWEEP_EVERY_S)
+            await trio.sleep(SWEEP_INTERVAL_S)
             for held in self.job_index:
                 if self._is_ours(held):
                     await self._sweep_logged(held)
 
     def _is_ours(self, held: Held) -> bool:
         row = held.row
-        if row.open or self.clock() < row.accepted_at + self.keep_s + KEEP_MARGIN_S:
+        if (
+            row.open
+            or self.clock() < row.accepted_at + self.keep_s + RETENTION_MARGIN_S
+        ):
             return False
         return ranked(row.job, self.living())[0] == self.owner
 
@@ -124,5 +127,5 @@
 
 
 def _batches(keys: list[str]) -> Iterable[list[str]]:
-    for begin in range(0, len(keys), _ENTRIES):
-        yield keys[begin : begin + _ENTRIES]
+    for begin in range(0, len(keys), _MAX_DELETES):
+        yield keys[begin : begin + _MAX_DELETES]
--- a/src/coppercleat/jobs/_worker.py
+++ b/src/coppercleat/jobs/_worker.py
@@ -1,4 +1,4 @@
-"""Takes jobs, has their items run, and commits what they give."""
+"""Owns jobs: takes them over, runs their items, and commits the results."""
 
 from __future__ import annotations
 
@@ -15,46 +15,52 @@
     Held,
     JobRepository,
     Superseded,
-    bounded_partials,
-    fits_one_commit,
+    commit_batch_size,
+    limit_checkpoints,
 )
 from coppercleat.jobs._run import JobRun
-from coppercleat.jobs._starter import JOBS_STALE_S, ItemStarter
-from coppercleat.jobs._still_jobs import StillJobs
+from coppercleat.jobs._stalled_jobs import StillJobs
+from coppercleat.jobs._starter import MAX_INDEX_AGE_S, ItemStarter
 from coppercleat.observability import part_logger
 from coppercleat.routing import ranked
 from coppercleat.serving import ItemEvents, RouteTable, Waiting
 
-KEEP_EVERY_S = 1.5
-"""How often the events of running items are kept on the platform: a killed instance
-costs at most this much work again, at one transaction a job."""
+CHECKPOINT_INTERVAL_S = 1.5
+"""Interval of checkpoints of running items. A killed instance loses at most this much
+work; each checkpoint costs one transaction per job."""
 
-KEEP_LEAST_EVENTS = 20
-"""Fewer new events are not worth a write."""
+CHECKPOINT_MIN_EVENTS = 20
+"""Minimum new events of an item for a checkpoint."""
 
 HANDOVER_WAIT_S = 0.06
-"""There and back between availability zones takes 2 ms, a busy peer some 10 ms."""
+"""How long a new owner waits for the previous one to send its progress: longer than a
+round trip between availability zones and a busy peer's reply."""
 
 _HANDOVER_POLL_S = 0.005
 _STOP_POLL_S = 0.02
-_RETRY_S = 0.25
-_COMMIT_GATHER_S = 0.05
-"""Items that finish within this time are listed by one transaction."""
+_RETRY_DELAY_S = 0.25
+_COMMIT_INTERVAL_S = 0.05
+"""Items that finish within this time are committed in one transaction."""
 
-_TAKE_STAGGER_S = 0.6
-"""The next in line takes an orphaned job so much later than the one before."""
+_TAKEOVER_STAGGER_S = 0.6
+"""Extra delay per rank before a job of a dead owner is taken over."""
 
-_MOST_NAMED = 3
-"""Items that a line names; each has lines of its own."""
+_MAX_LOGGED_ITEMS = 3
+"""Maximum items named in one log line."""
 
 _log = part_logger("jobs")
 
 
 class JobWorker:
-    """Owns jobs: takes them, has their items run, and commits the results.
+    """Owns jobs: takes them over, runs their items, and commits the results.
+
+    Each job has one owner at a time, recorded in its row. Live instances take over the
+    jobs of dead owners; every write is conditional on the version of the row, so that a
+    previous owner cannot commit any more.
 
     Attributes:
-      stopping: Whether no more items may be started.
+      runs: Jobs that this instance owns and has loaded, by id.
+      stopping: Whether the instance is shutting down and starts no more items.
     """
 
     def __init__(
@@ -74,24 +80,24 @@
         on_taken: Callable[[JobId], None],
         on_commit: Callable[[str], None],
     ) -> None:
-        """Prepares the worker.
+        """Initializes the worker.
 
         Args:
           repository: Commits results.
           job_index: All jobs as known here.
           items: Runs items.
-          owner: Names this start of this instance.
-          clock: Unix time in seconds.
-          routes: Returns the routes in force.
-          owner_lives: Tells whether the owner of a job is alive, given since when
-            its name has been known here.
-          living: Names all living instances.
-          holds_lease: Tells whether others still take this instance as alive.
-          isolated: Tells whether this instance hears neither the store nor any
-            other instance, so that others must have taken its jobs.
-          pause_s: Returns seconds between looks at what has changed of the jobs.
-          on_taken: Told of each job taken over here.
-          on_commit: Told how each commit ended.
+          owner: Owner name of this instance; it changes with each restart.
+          clock: Returns the Unix time in seconds.
+          routes: Returns the current route table; None before it is loaded.
+          owner_lives: Returns whether the owner of a job is alive, given the time
+            ``since`` which its name has been known here.
+          living: Returns the owner names of all live instances.
+          holds_lease: Returns whether others still consider this instance alive.
+          isolated: Returns whether this instance reaches neither the store nor any
+            other instance, so that others must be assumed to take over its jobs.
+          pause_s: Returns the seconds between two refreshes of the job index.
+          on_taken: Called with each job that was taken over here.
+          on_commit: Called with the outcome of each commit.
         """
         self.repository = repository
         self.job_index = job_index
@@ -106,11 +112,11 @@
         self.on_commit = on_commit
         self.stopping = False
         self.runs: dict[JobId, JobRun] = {}
-        self._met: dict[str, float] = {}
+        self._first_seen: dict[str, float] = {}
         self._orphans: dict[JobId, float] = {}
-        self._taking: set[JobId] = set()
-        self._handed: dict[JobId, list[ItemEvents]] = {}
-        self._still = StillJobs()
+        self._active: set[JobId] = set()
+        self._handovers: dict[JobId, list[ItemEvents]] = {}
+        self._stalled_jobs = StillJobs()
         self._nursery: trio.Nursery | None = None
         self._starter = ItemStarter(
             items,
@@ -123,10 +129,10 @@
         job_index.on_change = self._job_changed
 
     async def run(self) -> None:
-        """Works until cancelled."""
+        """Runs jobs until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
-            nursery.start_soon(self._follow_forever)
+            nursery.start_soon(self._follow_jobs)
             nursery.start_soon(self._starter.run)
 
     def late_jobs(self) -> int:
@@ -135,108 +141,112 @@
         return sum(run.due_at < now for run in self.runs.values())
 
     def late_items(self) -> int:
-        """Returns how many waiting items cannot be done by their job's due time."""
+        """Returns how many pending items cannot finish by their job's due time."""
         return self._starter.late_items()
 
     def barred_items_s(self) -> list[float]:
-        """Returns for how long each item has been kept from running, in seconds."""
+        """Returns the seconds that each quarantined item has been in quarantine."""
         now = trio.current_time()
         return [
-            now - item.barred.since
+            now - item.quarantine.since
             for run in self.runs.values()
             for item in run.pending
-            if item.barred is not None
+            if item.quarantine is not None
         ]
 
     def waiting(self) -> tuple[Waiting, ...]:
-        """Returns what waits here for a slot, to be told to others."""
+        """Returns the waiting items to announce to other instances."""
         return self._starter.waiting() if self._may_start() else ()
 
     def waits(self) -> bool:
-        """Returns whether an item waits here for a slot."""
+        """Returns whether any item waits for a slot."""
         now = trio.current_time()
         return any(run.startable(now) for run in self.runs.values())
 
     def look(self) -> None:
-        """Looks for slots anew, if anything waits."""
+        """Triggers a search for free slots if any item waits."""
         if self.waits():
             self._starter.wake()
 
-    # Which jobs are ours.
+    # Ownership.
 
     @property
     def may_own(self) -> bool:
-        """Whether a new job may be put into the hands of this instance."""
+        """Whether new jobs may be assigned to this instance."""
         return self.holds_lease() and not self.stopping
 
     def _may_start(self) -> bool:
         age_s = trio.current_time() - self.job_index.fresh_at
-        return self.may_own and age_s < JOBS_STALE_S
+        return self.may_own and age_s < MAX_INDEX_AGE_S
 
     def own(self, held: Held) -> None:
-        """Begins a job that was just accepted here."""
+        """Adds a job that was just accepted to the index, and starts it if owned."""
         self.job_index.observe(held)
 
-    async def _follow_forever(self) -> None:
+    async def _follow_jobs(self) -> None:
         while True:
             try:
                 await self.job_index.refresh()
             except CoppercleatError as error:
-                _log.debug("Jobs could not be read.", reason=str(error))
-            self._look_for_orphans()
-            self._say_what_stands_still()
+                _log.debug("Job index could not be refreshed.", reason=str(error))
+            self._take_over_orphans()
+            self._log_stalled_jobs()
             await trio.sleep(self.pause_s())
 
     def _job_changed(self, held: Held) -> None:
         job = held.row.job
         run = self.runs.get(job)
         if run is not None and run.held.version < held.version:
-            if not self._is_ours(held):
-                self._drop(run, "ended" if held.row.ended else "taken over")
+            if not self._is_owned(held):
+                self._abandon(run, "ended" if held.row.ended else "taken over")
         elif run is None and held.row.open and held.row.owner == self.owner:
-            self._begin(held, "ours, as it changed")
+            self._start_job(held, "owned, found in a change")
 
-    def _begin(self, held: Held, why: str) -> None:
+    def _start_job(self, held: Held, why: str) -> None:
         job = held.row.job
-        if job in self._taking or self._nursery is None or self.stopping:
+        if job in self._active or self._nursery is None or self.stopping:
             return
-        self._taking.add(job)
+        self._active.add(job)
         self._nursery.start_soon(self._run_job, held, why)
 
-    def _look_for_orphans(self) -> None:
-        """Takes jobs whose owner is gone; the first in line begins."""
+    def _take_over_orphans(self) -> None:
+        """Takes over jobs whose owner is dead.
+
+        Instances are ranked for each job; each rank waits longer than the one before,
+        so that usually only the first one tries.
+        """
         now = trio.current_time()
         if not self.job_index.loaded or not self._may_start():
             return
         for held in self.job_index:
             job = held.row.job
-            if not held.row.open or job in self.runs or job in self._taking:
+            if not held.row.open or job in self.runs or job in self._active:
                 self._orphans.pop(job, None)
             elif held.row.owner == self.owner:
-                self._begin(held, "ours, but not held here")
+                self._start_job(held, "owned, but not running here")
             elif self._owner_lives(held.row.owner, now):
                 self._orphans.pop(job, None)
             else:
                 since = self._orphans.setdefault(job, now)
-                place = ranked(job, self.living()).index(self.owner)
-                if now - since >= place * _TAKE_STAGGER_S:
-                    self._taking.add(job)
+                rank = ranked(job, self.living()).index(self.owner)
+                if now - since >= rank * _TAKEOVER_STAGGER_S:
+                    self._active.add(job)
                     assert self._nursery is not None
-                    self._nursery.start_soon(self._take_orphan, held)
+                    self._nursery.start_soon(self._take_over, held)
 
     def _owner_lives(self, owner: str, now: float) -> bool:
-        since = self._met.setdefault(owner, now)
+        since = self._first_seen.setdefault(owner, now)
         return owner != NOBODY and self.owner_lives(owner, since=since)
 
-    async def _take_orphan(self, held: Held) -> None:
+    async def _take_over(self, held: Held) -> None:
         try:
             taken = await self.repository.take(held, owner=self.owner)
         except CoppercleatError as error:
-            _log.info("A job could not be taken.", job=held.row.job, reason=str(error))
-            self._taking.discard(held.row.job)
+            _log.info("Job takeover failed.", job=held.row.job, reason=str(error))
+            self._active.discard(held.row.job)
             return
         if isinstance(taken, Superseded):
-            self._taking.discard(held.row.job)
+            self._active.discard(held.row.job)
             if taken.held is not None:
                 self.job_index.observe(taken.held)
             return
@@ -246,39 +256,43 @@
         await self._wait_for_handover(held.row.job)
         await self._run_job(taken, "taken over")
 
-    def _say_what_stands_still(self) -> None:
-        """Says of jobs that stand still what is known of them here.
+    def _log_stalled_jobs(self) -> None:
+        """Logs the state of stalled jobs as known here.
 
-        A job that another runs is spoken of by the first in line alone.
+        A job of another owner is logged only by the first-ranked instance.
         """
         now = trio.current_time()
-        still = self._still.look(
-            self.job_index, is_ours_to_say=self._is_ours_to_say, now=now
+        stalled = self._stalled_jobs.look(
+            self.job_index, is_ours_to_say=self._should_report, now=now
         )
-        for held, still_s in still:
+        for held, stalled_s in stalled:
             job, owner = held.row.job, held.row.owner
             run = self.runs.get(job)
             pending = run.pending if run is not None else []
-            kept = {i.spec.id: i.barred for i in pending if i.barred is not None}
-            until = min((barred.until for barred in kept.values()), default=now)
+            quarantined = {
+                i.spec.id: i.quarantine for i in pending if i.quarantine is not None
+            }
+            until = min(
+                (quarantine.until for quarantine in quarantined.values()), default=now
+            )
             _log.warning(
-                "Job stands still.",
+                "Job is stalled.",
                 job=job,
-                still_s=round(still_s, 1),
+                still_s=round(stalled_s, 1),
                 version=held.version,
                 owner=owner,
                 owner_lives=self._owner_lives(owner, now),
                 held=run is not None,
-                begun=job in self._taking,
+                begun=job in self._active,
                 pending=len(pending) if run is not None else None,
-                kept_from_running=len(kept),
-                kept_items=list(kept)[:_MOST_NAMED],
+                kept_from_running=len(quarantined),
+                kept_items=list(quarantined)[:_MAX_LOGGED_ITEMS],
                 kept_for_s=round(until - now, 1),
                 may_start=self._may_start(),
                 jobs_age_s=round(now - self.job_index.fresh_at, 1),
             )
 
-    def _is_ours_to_say(self, held: Held) -> bool:
+    def _should_report(self, held: Held) -> bool:
         run = self.runs.get(held.row.job)
         if run is not None and run.running:
             return False
@@ -287,43 +301,46 @@
         return ranked(held.row.job, self.living())[0] == self.owner
 
     async def _wait_for_handover(self, job: JobId) -> None:
-        """Waits a moment for what the owner before had made, if it can be heard."""
+        """Waits briefly for the progress that the previous owner may send."""
         with trio.move_on_after(HANDOVER_WAIT_S):
-            while job not in self._handed:
+            while job not in self._handovers:
                 await trio.sleep(_HANDOVER_POLL_S)
 
     def taken_elsewhere(self, job: JobId) -> list[ItemEvents]:
-        """Stops a job that another has taken over; returns what was made of it.
+        """Stops a job that another instance has taken over; returns its progress.
 
-        An instance that the store turns away learns only so that it has lost a job.
+        Without a working store, the new owner's message is the only notice of the
+        takeover.
         """
         run = self.runs.get(job)
         if run is None:
             return []
-        made = run.made()
-        self._drop(run, "taken over, by a peer's word")
-        return made
+        progress = run.progress()
+        self._abandon(run, "taken over, reported by the new owner")
+        return progress
 
     def handed_over(self, job: JobId, items: list[ItemEvents]) -> None:
-        """Takes what the owner before had made; it comes before the job is loaded."""
-        if job in self._taking and job not in self.runs:
-            self._handed[job] = items
-            _log.info("Job handed on.", job=job, items=len(items))
+        """Takes the previous owner's progress of a job that is not loaded yet."""
+        if job in self._active and job not in self.runs:
+            self._handovers[job] = items
+            _log.info("Job progress received.", job=job, items=len(items))
 
-    # One job.
+    # Running a job.
 
     async def _run_job(self, held: Held, why: str) -> None:
-        """Runs a job until all its items are listed or it is no longer ours."""
+        """Runs a job until all its items are listed or it is no longer owned."""
         job = held.row.job
         began = trio.current_time()
         try:
             run = await self._load(held)
             if run is None:
-                _log.info("Job given up.", job=job, why="changed as it was loaded")
+                _log.info(
+                    "Job stopped.", job=job, why="ownership changed during loading"
+                )
                 return
             self.runs[job] = run
             _log.info(
-                "Job begun.",
+                "Job started.",
                 job=job,
                 why=why,
                 version=run.held.version,
@@ -332,90 +349,100 @@
                 ms=round((trio.current_time() - began) * 1000),
             )
             self._starter.wake()
-            await self._commit_forever(run)
+            await self._commit_until_done(run)
         finally:
             self.runs.pop(job, None)
-            self._taking.discard(job)
-            self._handed.pop(job, None)
+            self._active.discard(job)
+            self._handovers.pop(job, None)
 
     async def _load(self, held: Held) -> JobRun | None:
         while True:
             try:
                 items = await self.repository.items(held.row)
-                partials = await self.repository.partials(held.row)
-                # It may have ended or changed hands while its input was read.
+                checkpoints = await self.repository.checkpoints(held.row)
+                # The job may have been cancelled or taken over during these reads.
                 newest = self.job_index.get(held.row.job)
                 if newest is not None and newest.version > held.version:
                     held = newest
-                if not self._is_ours(held):
+                if not self._is_owned(held):
                     return None
-                run = JobRun(held, items, partials)
-                run.take_over(self._handed.pop(held.row.job, []))
+                run = JobRun(held, items, checkpoints)
+                run.apply_handover(self._handovers.pop(held.row.job, []))
                 return run
             except CoppercleatError as error:
-                _log.info("A job waits for input.", job=held.row.job, reason=str(error))
-            await trio.sleep(_RETRY_S)
+                _log.info(
+                    "Job could not be loaded; retrying.",
+                    job=held.row.job,
+                    reason=str(error),
+                )
+            await trio.sleep(_RETRY_DELAY_S)
             newest = self.job_index.get(held.row.job)
-            if newest is None or not self._is_ours(newest):
+            if newest is None or not self._is_owned(newest):
                 return None
             held = newest
 
-    def _is_ours(self, held: Held) -> bool:
+    def _is_owned(self, held: Held) -> bool:
         return held.row.owner == self.owner and not held.row.ended
 
-    async def _commit_forever(self, run: JobRun) -> None:
-        kept_at = trio.current_time()
+    async def _commit_until_done(self, run: JobRun) -> None:
+        checkpointed_at = trio.current_time()
         while run.held.row.job in self.runs:
             now = trio.current_time()
-            partials = {}
-            if now - kept_at >= KEEP_EVERY_S:
-                partials = bounded_partials(run.unkept(KEEP_LEAST_EVENTS))
-                kept_at = now
-            if run.finished or partials:
-                if not await self._commit(run, partials):
+            checkpoints = {}
+            if now - checkpointed_at >= CHECKPOINT_INTERVAL_S:
+                checkpoints = limit_checkpoints(
+                    run.new_checkpoints(CHECKPOINT_MIN_EVENTS)
+                )
+                checkpointed_at = now
+            if run.finished or checkpoints:
+                if not await self._commit(run, checkpoints):
                     return
             elif run.all_listed:
-                _log.info("Job done.", job=run.held.row.job, items=run.held.row.total)
+                _log.info(
+                    "Job completed.", job=run.held.row.job, items=run.held.row.total
+                )
                 return
-            await trio.sleep(_COMMIT_GATHER_S)
+            await trio.sleep(_COMMIT_INTERVAL_S)
 
     async def _commit(
-        self, run: JobRun, partials: dict, *, owner: str | None = None
+        self, run: JobRun, checkpoints: dict, *, owner: str | None = None
     ) -> bool:
-        """Commits once; returns whether the job is still ours."""
-        batch = run.finished[: fits_one_commit(run.finished)]
+        """Commits once; returns whether the job is still owned."""
+        batch = run.finished[: commit_batch_size(run.finished)]
         try:
-            held = await self.repository.commit(run.held, batch, partials, owner=owner)
+            held = await self.repository.commit(
+                run.held, batch, checkpoints, owner=owner
+            )
         except CoppercleatError as error:
             self.on_commit(error.kind)
             _log.info(
-                "A commit waits.",
+                "Commit failed; retrying.",
                 job=run.held.row.job,
                 finished=len(batch),
                 kind=error.kind,
                 reason=error.message,
             )
-            await trio.sleep(_RETRY_S)
+            await trio.sleep(_RETRY_DELAY_S)
             return True
         if isinstance(held, Superseded):
             self.on_commit("superseded")
-            return self._settle(run, held)
+            return self._resolve_conflict(run, held)
         self.on_commit("done")
         run.held = held
         del run.finished[: len(batch)]
-        run.note_kept(partials)
+        run.record_checkpoints(checkpoints)
         self.job_index.observe(held)
         return True
 
-    def _settle(self, run: JobRun, superseded: Superseded) -> bool:
-        """Learns what a refused commit means; returns whether the job is ours.
+    def _resolve_conflict(self, run: JobRun, superseded: Superseded) -> bool:
+        """Handles a commit that was refused; returns whether the job is still owned.
 
-        A commit whose answer was lost shows as a newer row with the same owner, in
-        which the items stand that it listed.
+        After a commit whose response was lost, the row is newer but has the same owner:
+        the items that it lists must not be committed again.
         """
         held = superseded.held
-        if held is None or not self._is_ours(held):
-            self._drop(run, "changed by another")
+        if held is None or not self._is_owned(held):
+            self._abandon(run, "changed by another instance")
             if held is not None:
                 self.job_index.observe(held)
             return False
@@ -425,16 +452,16 @@
         self.job_index.observe(held)
         return True
 
-    def _drop(self, run: JobRun, why: str) -> None:
+    def _abandon(self, run: JobRun, why: str) -> None:
         job = run.held.row.job
         self.runs.pop(job, None)
         self.items.stop_job(run)
-        _log.info("Job given up.", job=job, why=why)
+        _log.info("Job stopped.", job=job, why=why)
 
-    # Stopping.
+    # Shutdown.
 
     async def hand_over(self) -> None:
-        """Stops all items and gives up all jobs, with what the items have made."""
+        """Stops all items, stores their progress, and releases all jobs."""
         self.stopping = True
         self.items.stop_all()
         async with trio.open_nursery() as nursery:
@@ -446,9 +473,9 @@
         while run.running:
             await trio.sleep(_STOP_POLL_S)
         for _ in range(3):
-            partials = bounded_partials(run.unkept(1))
-            if not await self._commit(run, partials, owner=NOBODY):
+            checkpoints = limit_checkpoints(run.new_checkpoints(1))
+            if not await self._commit(run, checkpoints, owner=NOBODY):
                 return
             if run.held.row.owner == NOBODY:
-                _log.info("Job handed over.", job=run.held.row.job)
+                _log.info("Job released.", job=run.held.row.job)
                 return
