--- a/src/coppercleat/gateway/_gateway.py
+++ b/src/coppercleat/gateway/_gateway.py
@@ -162,7 +162,7 @@
             clock=time.time,
             owner=self.watch.owner_name,
             living=self.watch.living,
-            quota_of=self._quota_of,
+            quota_prefix_of=self._quota_of,
         )
         self.jobs = JobService(
             repository,
@@ -185,8 +185,8 @@
         self.peers.waiting = self._waiting
         # Runs of a peer that is gone may go on; their upstreams can tell.
         self.peers.on_peer_dropped = self.survey.doubt
-        self.peers.on_taken = self.worker.taken_elsewhere
-        self.peers.on_handover = self.worker.handed_over
+        self.peers.on_taken = self.worker.stop_taken_job
+        self.peers.on_handover = self.worker.receive_handover
         self.watch.kept_ends = self.end_keeper.to_keep
         self.watch.on_kept_ends = self.end_keeper.take_kept
         self.peers.ends = self._ends
@@ -312,9 +312,9 @@
         metrics.quarantined.set({}, len(quarantined))
         states = self.placement.states.values()
         metrics.unknown_runs.set({}, sum(state.unknown for state in states))
-        barred_items_s = self.worker.barred_items_s()
-        metrics.barred_items.set({}, len(barred_items_s))
-        metrics.barred_item_seconds.set({}, max(barred_items_s, default=0.0))
+        quarantined_items_s = self.worker.quarantined_items_s()
+        metrics.barred_items.set({}, len(quarantined_items_s))
+        metrics.barred_item_seconds.set({}, max(quarantined_items_s, default=0.0))
         metrics.owned_jobs.set({}, len(self.worker.runs))
         metrics.late_jobs.set({}, self.worker.late_jobs())
         page, _ = aioprometheus.render(metrics.registry, [])
--- a/src/coppercleat/gateway/_job_service.py
+++ b/src/coppercleat/gateway/_job_service.py
@@ -12,14 +12,14 @@
 from coppercleat.errors import CoppercleatError, PlatformUnavailableError
 from coppercleat.ids import JobId
 from coppercleat.jobs import (
-    NOBODY,
-    Held,
+    NO_OWNER,
     JobIndex,
     JobRepository,
     JobRow,
     JobWorker,
     OverQuota,
     ResultsPage,
+    StoredJob,
     Submission,
 )
 from coppercleat.observability import part_logger
@@ -130,7 +130,7 @@
                 accepted = await self.repository.accept(
                     submission,
                     route,
-                    owner=self.worker.owner if self.worker.may_own else NOBODY,
+                    owner=self.worker.owner if self.worker.accepts_jobs else NO_OWNER,
                     finished_tokens=self.job_index.finished_tokens,
                     tolerance=self.quota_tolerance,
                 )
@@ -145,7 +145,7 @@
                 continue
             if isinstance(accepted, OverQuota):
                 return _over_quota(uncertain=uncertain)
-            self.worker.own(accepted)
+            self.worker.start_accepted_job(accepted)
             return JobReply(answer=JobAnswer.ACCEPTED)
 
     async def results(self, host: str, job: JobId, *, after: int) -> JobReply:
@@ -164,11 +164,11 @@
         """Returns the body of an item that is not listed yet."""
 
         async def read() -> JobReply:
-            held = await self.repository.find(host, job)
-            if held is None or held.row.ended:
+            stored = await self.repository.find(host, job)
+            if stored is None or stored.row.ended:
                 return JobReply(answer=JobAnswer.ABSENT)
-            specs = await self.repository.items(held.row)
-            listed = set(held.row.listed)
+            specs = await self.repository.items(stored.row)
+            listed = set(stored.row.listed)
             for index, spec in enumerate(specs):
                 if spec.id == item and index not in listed:
                     return JobReply(answer=JobAnswer.FOUND, body=spec.body)
@@ -184,9 +184,9 @@
 
         async def write() -> JobReply:
             found = await self.repository.end(host, job)
-            held = await self.repository.find(host, job)
-            if held is not None:
-                self.job_index.observe(held)
+            stored = await self.repository.find(host, job)
+            if stored is not None:
+                self.job_index.observe(stored)
             answer = JobAnswer.ENDED if found else JobAnswer.ABSENT
             return JobReply(answer=answer)
 
@@ -214,13 +214,13 @@
 
     async def _row(self, host: str, job: JobId) -> JobRow | None:
         """Returns a job's row; what never changes may come from the job_index."""
-        known: Held | None = self.job_index.get(job)
+        known: StoredJob | None = self.job_index.get(job)
         if known is not None and known.row.host == host:
             return known.row
-        held = await self.repository.find(host, job)
-        if held is not None:
-            self.job_index.observe(held)
-        return held.row if held else None
+        stored = await self.repository.find(host, job)
+        if stored is not None:
+            self.job_index.observe(stored)
+        return stored.row if stored else None
 
 
 def _accepted(row: JobRow) -> JobReply:
--- a/src/coppercleat/gateway/_run.py
+++ b/src/coppercleat/gateway/_run.py
@@ -115,7 +115,7 @@
     ends_at = began + gateway.settings.grace_s - GRACE_MARGIN_S
     gateway.admission.queue.closes_at = ends_at
     with trio.move_on_after(UNREADY_S):
-        await gateway.worker.hand_over()
+        await gateway.worker.release_jobs()
         await gateway.watch.leave()
     await trio.sleep_until(began + UNREADY_S)
     listening_over.set()
--- a/src/coppercleat/jobs/__init__.py
+++ b/src/coppercleat/jobs/__init__.py
@@ -2,28 +2,28 @@
 
 from coppercleat.jobs._index import JobIndex
 from coppercleat.jobs._items import ItemRunner
-from coppercleat.jobs._pace import ItemPace
-from coppercleat.jobs._records import NOBODY, ItemSpec, ItemState, JobRow, ResultRow
+from coppercleat.jobs._pace import ItemDurationEstimator
+from coppercleat.jobs._records import NO_OWNER, ItemSpec, ItemState, JobRow, ResultRow
 from coppercleat.jobs._repository import (
-    Finished,
-    Held,
+    FinishedItem,
     JobRepository,
     OverQuota,
     ResultsPage,
+    StoredJob,
     Submission,
     Superseded,
 )
 from coppercleat.jobs._run import JobRun
-from coppercleat.jobs._schedule import next_turns
-from coppercleat.jobs._stalled_jobs import StillJobs
+from coppercleat.jobs._schedule import next_candidates
+from coppercleat.jobs._stalled_jobs import StalledJobs
 from coppercleat.jobs._sweep import Sweeper
 from coppercleat.jobs._worker import JobWorker
 
 __all__ = [
-    "NOBODY",
-    "Finished",
-    "Held",
-    "ItemPace",
+    "NO_OWNER",
+    "FinishedItem",
+    "StoredJob",
+    "ItemDurationEstimator",
     "ItemRunner",
     "ItemSpec",
     "ItemState",
@@ -35,9 +35,9 @@
     "OverQuota",
     "ResultRow",
     "ResultsPage",
-    "StillJobs",
+    "StalledJobs",
     "Submission",
     "Superseded",
     "Sweeper",
-    "next_turns",
+    "next_candidates",
 ]
--- a/src/coppercleat/jobs/_index.py
+++ b/src/coppercleat/jobs/_index.py
@@ -8,7 +8,7 @@
 
 from coppercleat.ids import JobId
 from coppercleat.jobs._records import JOB_SPACE, JobRow, job_key
-from coppercleat.jobs._repository import Held
+from coppercleat.jobs._repository import StoredJob
 from coppercleat.observability import part_logger
 from coppercleat.storage import HistoryLostError, Platform, Row, decode_row
 
@@ -23,7 +23,7 @@
     """Follows the rows of jobs.
 
     Attributes:
-      held: By job id.
+      stored: By job id.
       loaded: Whether all jobs have been read once.
       fresh_at: When the index was last as new as the platform, in trio's time.
       on_change: Told of each job that has changed.
@@ -31,34 +31,34 @@
 
     def __init__(self, platform: Platform) -> None:
         self.platform = platform
-        self.held: dict[JobId, Held] = {}
+        self.stored: dict[JobId, StoredJob] = {}
         self.loaded = False
         self.fresh_at = float("-inf")
-        self.on_change: Callable[[Held], None] = lambda held: None
+        self.on_change: Callable[[StoredJob], None] = lambda stored: None
         self._invalid_rows: dict[str, int] = {}
         self._version = 0
         self._next_full_read_at = float("-inf")
 
-    def __iter__(self) -> Iterator[Held]:
-        return iter(list(self.held.values()))
+    def __iter__(self) -> Iterator[StoredJob]:
+        return iter(list(self.stored.values()))
 
-    def get(self, job: JobId) -> Held | None:
+    def get(self, job: JobId) -> StoredJob | None:
         """Returns a job, None if it is not known here (yet)."""
-        return self.held.get(job)
+        return self.stored.get(job)
 
-    def observe(self, held: Held) -> None:
+    def observe(self, stored: StoredJob) -> None:
         """Takes a job as just read or written here, if it is newer."""
-        known = self.held.get(held.row.job)
-        if known is None or known.version < held.version:
-            self.held[held.row.job] = held
-            self.on_change(held)
+        known = self.stored.get(stored.row.job)
+        if known is None or known.version < stored.version:
+            self.stored[stored.row.job] = stored
+            self.on_change(stored)
 
     def finished_tokens(self, host: str, prefix: str) -> int:
         """Returns tokens of listed and ended items of a host and route prefix."""
         return sum(
-            sum(held.row.tokens) - held.row.waiting_tokens
-            for held in self.held.values()
-            if held.row.host == host and held.row.path.startswith(prefix)
+            sum(stored.row.tokens) - stored.row.waiting_tokens
+            for stored in self.stored.values()
+            if stored.row.host == host and stored.row.path.startswith(prefix)
         )
 
     async def refresh(self) -> None:
@@ -74,7 +74,7 @@
             changes = await self.platform.changes(JOB_SPACE, after=self._version)
         for changed in changes.rows:
             if changed.row is None:
-                self.held.pop(JobId(changed.key.removeprefix(f"{JOB_SPACE}/")), None)
+                self.stored.pop(JobId(changed.key.removeprefix(f"{JOB_SPACE}/")), None)
                 self._invalid_rows.pop(changed.key, None)
             else:
                 self._apply_row(changed.key, changed.row)
@@ -103,7 +103,7 @@
             job = decode_row(row, JobRow)
             if key != job_key(job.job):
                 raise ValueError(f"It is the row of {job.job!r}")
-            self.observe(Held(job, row.version))
+            self.observe(StoredJob(job, row.version))
         except Exception as error:  # noqa: BLE001 - one bad row must not hide the rest
             if self._invalid_rows.get(key) == row.version:
                 return
--- a/src/coppercleat/jobs/_item_quarantine.py
+++ b/src/coppercleat/jobs/_item_quarantine.py
@@ -128,7 +128,7 @@
         log = _log.warning if done_in_s > due_in_s else _log.info
         log(
             "Item quarantined.",
-            job=run.held.row.job,
+            job=run.stored.row.job,
             item=item.spec.id,
             fingerprint=shown(run.request_of(item).fingerprint),
             standing=verdict.standing.value,
--- a/src/coppercleat/jobs/_items.py
+++ b/src/coppercleat/jobs/_items.py
@@ -10,7 +10,7 @@
 
 from coppercleat.ids import InstanceId, UpstreamId
 from coppercleat.jobs._item_quarantine import ItemQuarantine
-from coppercleat.jobs._pace import ItemPace
+from coppercleat.jobs._pace import ItemDurationEstimator
 from coppercleat.jobs._run import ItemAttemptOutcome, ItemProgress, JobRun
 from coppercleat.observability import part_logger
 from coppercleat.quarantine import FREE, EndWatch, Standing, Verdict, shown
@@ -124,7 +124,7 @@
         self.on_end = on_end
         self._running: list[RunningItem] = []
         self._avoided: dict[UpstreamId, float] = {}
-        self._estimator = ItemPace()
+        self._estimator = ItemDurationEstimator()
         self._patience = Patience(placement.rng)
 
     def find_slot(
@@ -266,7 +266,7 @@
         log = _log.info if outcome is not ItemAttemptOutcome.YIELDED else _log.debug
         log(
             "Item run ended.",
-            job=run.held.row.job,
+            job=run.stored.row.job,
             item=item.spec.id,
             fingerprint=shown(running.request.fingerprint) if broke else None,
             upstream=state.id,
--- a/src/coppercleat/jobs/_pace.py
+++ b/src/coppercleat/jobs/_pace.py
@@ -13,7 +13,7 @@
 """Time to first event: connecting, prompt processing and one decoding step."""
 
 
-class ItemPace:
+class ItemDurationEstimator:
     """Moving averages of the length of items and the interval between events.
 
     Attributes:
--- a/src/coppercleat/jobs/_records.py
+++ b/src/coppercleat/jobs/_records.py
@@ -22,7 +22,7 @@
 from coppercleat.serving import Header
 
 JOB_SPACE = "job"
-NOBODY = ""
+NO_OWNER = ""
 """The owner of a job that was given up or never taken."""
 
 SLICE_BYTES = 45_000
@@ -77,7 +77,7 @@
     accepted_at: float
     due_at: float
     expires_at: float
-    owner: str = NOBODY
+    owner: str = NO_OWNER
     listed: tuple[int, ...] = ()
     ended: bool = False
     slices: int = 0
--- a/src/coppercleat/jobs/_repository.py
+++ b/src/coppercleat/jobs/_repository.py
@@ -11,7 +11,7 @@
 from coppercleat.ids import JobId, random_token
 from coppercleat.jobs._records import (
     MAX_INPUT_SLICES,
-    NOBODY,
+    NO_OWNER,
     SLICE_BYTES,
     CheckpointRow,
     EndRow,
@@ -65,7 +65,7 @@
     items: list[ItemSpec]
 
 
-class Held(msgspec.Struct, frozen=True):
+class StoredJob(msgspec.Struct, frozen=True):
     """A job's row and its version."""
 
     row: JobRow
@@ -82,7 +82,7 @@
     waiting: int
 
 
-class Finished(msgspec.Struct, frozen=True, kw_only=True):
+class FinishedItem(msgspec.Struct, frozen=True, kw_only=True):
     """An item that is to be listed."""
 
     index: int
@@ -100,9 +100,9 @@
 
 
 class Superseded(msgspec.Struct, frozen=True):
-    """Sentinel: the job was changed by another; ``held`` is what it is now."""
+    """Sentinel: the job was changed by another; ``stored`` is what it is now."""
 
-    held: Held | None
+    stored: StoredJob | None
 
 
 class JobRepository:
@@ -132,7 +132,7 @@
         owner: str,
         finished_tokens: Callable[[str, str], int],
         tolerance: float = 0.0,
-    ) -> Held | OverQuota:
+    ) -> StoredJob | OverQuota:
         """Accepts a job once; a repeated submission finds the first.
 
         Args:
@@ -177,7 +177,7 @@
                 Transaction(checks=checks, puts=puts, part=submission.host)
             )
             if not isinstance(answer, TransactionRefused):
-                return Held(row, answer[key])
+                return StoredJob(row, answer[key])
             known = [key, quota] if limited else [key]
         raise PlatformUnavailableError("Too many jobs are accepted at once")
 
@@ -224,7 +224,7 @@
 
     # Reading.
 
-    async def find(self, host: str, job: JobId) -> Held | None:
+    async def find(self, host: str, job: JobId) -> StoredJob | None:
         """Returns a job, None if there is none."""
         rows = await self.platform.read([job_key(job)], part=host)
         row = rows.get(job_key(job))
@@ -292,12 +292,12 @@
         self, host: str, job: JobId, end: Row, position: int
     ) -> list[ResultRow]:
         """Returns the items that were left at a job's end, from a position on."""
-        held = await self.find(host, job)
-        if held is None:
+        stored = await self.find(host, job)
+        if stored is None:
             return []
         unlisted = decode_row(end, EndRow).unlisted
-        specs = await self.items(held.row)
-        left = unlisted[position - len(held.row.listed) :]
+        specs = await self.items(stored.row)
+        left = unlisted[position - len(stored.row.listed) :]
         return [
             ResultRow(item=specs[index].id, state=ItemState.CANCELLED, text=b"")
             for index in left
@@ -305,27 +305,29 @@
 
     # Changes by the owner.
 
-    async def take(self, held: Held, *, owner: str) -> Held | Superseded:
+    async def take(self, stored: StoredJob, *, owner: str) -> StoredJob | Superseded:
         """Makes another the owner of a job, or nobody."""
-        return await self._update(held, msgspec.structs.replace(held.row, owner=owner))
+        return await self._update(
+            stored, msgspec.structs.replace(stored.row, owner=owner)
+        )
 
     async def commit(
         self,
-        held: Held,
-        finished: Sequence[Finished],
+        stored: StoredJob,
+        finished: Sequence[FinishedItem],
         checkpoints: dict[int, CheckpointRow],
         *,
         owner: str | None = None,
-    ) -> Held | Superseded:
+    ) -> StoredJob | Superseded:
         """Lists finished items and keeps what running ones have made.
 
         Args:
-          held: The job as it was last seen.
+          stored: The job as it was last seen.
           finished: Items to list next, in order.
           checkpoints: By item index.
           owner: The new owner; None for the same.
         """
-        row = held.row
+        row = stored.row
         listed = (*row.listed, *(item.index for item in finished))
         puts: list[Put] = []
         for position, item in enumerate(finished, len(row.listed)):
@@ -336,7 +338,7 @@
         ]
         owner = row.owner if owner is None else owner
         changed = msgspec.structs.replace(row, listed=listed, owner=owner)
-        return await self._update(held, changed, puts)
+        return await self._update(stored, changed, puts)
 
     async def end(self, host: str, job: JobId) -> bool:
         """Ends a job for its client; returns whether there is one.
@@ -345,15 +347,15 @@
         same transaction.
         """
         for _ in range(_MAX_END_ATTEMPTS):
-            held = await self.find(host, job)
-            if held is None:
+            stored = await self.find(host, job)
+            if stored is None:
                 return False
-            if held.row.ended:
+            if stored.row.ended:
                 return True
-            ended = msgspec.structs.replace(held.row, ended=True, owner=NOBODY)
-            left = [Put(end_key(job), msgspec.json.encode(_end_row(held.row)))]
+            ended = msgspec.structs.replace(stored.row, ended=True, owner=NO_OWNER)
+            left = [Put(end_key(job), msgspec.json.encode(_end_row(stored.row)))]
             try:
-                if isinstance(await self._update(held, ended, left), Held):
+                if isinstance(await self._update(stored, ended, left), StoredJob):
                     return True
             except AnswerLostError:
                 # The job as it is now tells whether it has ended.
@@ -361,22 +363,22 @@
         raise PlatformUnavailableError(f"The job {job} changes too often")
 
     async def _update(
-        self, held: Held, row: JobRow, puts: Iterable[Put] = ()
-    ) -> Held | Superseded:
+        self, stored: StoredJob, row: JobRow, puts: Iterable[Put] = ()
+    ) -> StoredJob | Superseded:
         key = job_key(row.job)
         answer = await self.platform.transact(
             Transaction(
-                checks=[Check(key, held.version)],
+                checks=[Check(key, stored.version)],
                 puts=[Put(key, msgspec.json.encode(row)), *puts],
                 part=row.host,
             )
         )
         if isinstance(answer, TransactionRefused):
             return Superseded(await self.find(row.host, row.job))
-        return Held(row, answer[key])
+        return StoredJob(row, answer[key])
 
 
-def commit_batch_size(finished: Sequence[Finished]) -> int:
+def commit_batch_size(finished: Sequence[FinishedItem]) -> int:
     """Returns how many of the items fit into one transaction, at least one."""
     size = 0
     for count, item in enumerate(finished):
@@ -410,8 +412,8 @@
     return EndRow(unlisted=tuple(i for i in range(row.total) if i not in listed))
 
 
-def _stored_job(row: Row) -> Held:
-    return Held(decode_row(row, JobRow), row.version)
+def _stored_job(row: Row) -> StoredJob:
+    return StoredJob(decode_row(row, JobRow), row.version)
 
 
 def _quota(row: Row | None) -> tuple[int, int]:
@@ -421,7 +423,7 @@
     return decode_row(row, QuotaRow).accepted_tokens, row.version
 
 
-def _result_puts(job: JobId, position: int, item: Finished) -> list[Put]:
+def _result_puts(job: JobId, position: int, item: FinishedItem) -> list[Put]:
     slices = [
         item.text[i : i + SLICE_BYTES] for i in range(0, len(item.text), SLICE_BYTES)
     ] or [b""]
--- a/src/coppercleat/jobs/_run.py
+++ b/src/coppercleat/jobs/_run.py
@@ -8,7 +8,7 @@
 
 from coppercleat.ids import RequestId, UpstreamId
 from coppercleat.jobs._records import CheckpointRow, ItemSpec, ItemState
-from coppercleat.jobs._repository import Finished, Held
+from coppercleat.jobs._repository import FinishedItem, StoredJob
 from coppercleat.quarantine import Verdict
 from coppercleat.serving import EVENT_STREAM, ItemEvents, OnlineRequest
 
@@ -86,10 +86,10 @@
     request: OnlineRequest | None = None
     quarantine: QuarantineState | None = None
 
-    def as_finished(self, state: ItemState) -> Finished:
+    def as_finished(self, state: ItemState) -> FinishedItem:
         """Returns the item with its final state and its result."""
         text = b"\n".join(self.events) if state is ItemState.COMPLETED else b""
-        return Finished(index=self.index, item=self.spec.id, state=state, text=text)
+        return FinishedItem(index=self.index, item=self.spec.id, state=state, text=text)
 
     def apply_handover(self, progress: ItemEvents) -> None:
         """Adopts the progress made at the previous owner if it is further ahead."""
@@ -121,7 +121,7 @@
     An item is listed once its result is committed to the job's list of results.
 
     Attributes:
-      held: The job's row as last read or written.
+      stored: The job's row as last read or written.
       pending: Items that wait for a slot, ordered by index.
       running: Items at upstreams, by index.
       finished: Items whose results are still to be committed.
@@ -129,14 +129,17 @@
     """
 
     def __init__(
-        self, held: Held, items: list[ItemSpec], checkpoints: dict[int, CheckpointRow]
+        self,
+        stored: StoredJob,
+        items: list[ItemSpec],
+        checkpoints: dict[int, CheckpointRow],
     ) -> None:
-        self.held = held
+        self.stored = stored
         self.pending: list[ItemProgress] = []
         self.running: dict[int, ItemProgress] = {}
-        self.finished: list[Finished] = []
+        self.finished: list[FinishedItem] = []
         self.lateness_logged = False
-        listed = set(held.row.listed)
+        listed = set(stored.row.listed)
         for index, spec in enumerate(items):
             if index in listed:
                 continue
@@ -148,7 +151,7 @@
     @property
     def due_at(self) -> float:
         """When all items should be finished, in Unix seconds."""
-        return self.held.row.due_at
+        return self.stored.row.due_at
 
     @property
     def all_listed(self) -> bool:
@@ -164,7 +167,7 @@
             item.request = OnlineRequest(
                 request_id=RequestId(item.spec.id),
                 method="POST",
-                host=self.held.row.host,
+                host=self.stored.row.host,
                 target=item.spec.target.encode(),
                 headers=item.spec.headers,
                 body=item.spec.body,
--- a/src/coppercleat/jobs/_schedule.py
+++ b/src/coppercleat/jobs/_schedule.py
@@ -29,7 +29,7 @@
         return self.late, self.run.due_at, self.item.index
 
 
-def next_turns(
+def next_candidates(
     runs: Iterable[tuple[JobRun, Route]],
     *,
     seconds_left: Callable[[ItemProgress], float],
--- a/src/coppercleat/jobs/_stalled_jobs.py
+++ b/src/coppercleat/jobs/_stalled_jobs.py
@@ -7,7 +7,7 @@
 import attrs
 
 from coppercleat.ids import JobId
-from coppercleat.jobs._repository import Held
+from coppercleat.jobs._repository import StoredJob
 
 STALLED_AFTER_S = 8.0
 """A job whose row has not changed for so long stands still. What its items make is kept
@@ -35,7 +35,7 @@
     reported_at: float = float("-inf")
 
 
-class StillJobs:
+class StalledJobs:
     """Remembers since when each open job's row is as it is."""
 
     def __init__(self) -> None:
@@ -44,16 +44,16 @@
 
     def look(
         self,
-        jobs: Iterable[Held],
+        jobs: Iterable[StoredJob],
         *,
-        is_ours_to_say: Callable[[Held], bool],
+        should_report: Callable[[StoredJob], bool],
         now: float,
-    ) -> list[tuple[Held, float]]:
+    ) -> list[tuple[StoredJob, float]]:
         """Returns jobs to speak of, each with the seconds for which it stands still.
 
         Args:
           jobs: All jobs as known here.
-          is_ours_to_say: Tells whether this instance speaks of a job; asked of one that
+          should_report: Tells whether this instance speaks of a job; asked of one that
             stands still, once in ``REPORT_INTERVAL_S``.
           now: Seconds on this instance's clock.
         """
@@ -61,14 +61,14 @@
             return []
         self._checked_at = now
         before, self._observations = self._observations, {}
-        stalled: list[tuple[Held, float]] = []
-        for held in jobs:
-            if not held.row.open:
+        stalled: list[tuple[StoredJob, float]] = []
+        for stored in jobs:
+            if not stored.row.open:
                 continue
-            observation = before.get(held.row.job)
-            if observation is None or observation.version != held.version:
-                observation = _Observation(held.version, now)
-            self._observations[held.row.job] = observation
+            observation = before.get(stored.row.job)
+            if observation is None or observation.version != stored.version:
+                observation = _Observation(stored.version, now)
+            self._observations[stored.row.job] = observation
             due = now - observation.reported_at >= REPORT_INTERVAL_S
             if (
                 now - observation.since >= STALLED_AFTER_S
@@ -76,6 +76,6 @@
                 and len(stalled) < MAX_REPORTS
             ):
                 observation.reported_at = now
-                if is_ours_to_say(held):
-                    stalled.append((held, now - observation.since))
+                if should_report(stored):
+                    stalled.append((stored, now - observation.since))
         return stalled
--- a/src/coppercleat/jobs/_starter.py
+++ b/src/coppercleat/jobs/_starter.py
@@ -9,7 +9,7 @@
 from coppercleat.ids import JobId
 from coppercleat.jobs._items import ItemRunner, RunningItem
 from coppercleat.jobs._run import ItemProgress, JobRun
-from coppercleat.jobs._schedule import Candidate, next_turns
+from coppercleat.jobs._schedule import Candidate, next_candidates
 from coppercleat.observability import part_logger
 from coppercleat.serving import Rank, Route, RouteTable, Waiting
 
@@ -98,7 +98,9 @@
         waiting = []
         table = self.routes()
         for run in sorted(self.runs.values(), key=lambda run: run.due_at):
-            route = table.match(run.held.row.host, run.held.row.path) if table else None
+            route = (
+                table.match(run.stored.row.host, run.stored.row.path) if table else None
+            )
             if route is None:
                 continue
             service = route.targets[0].service
@@ -121,7 +123,7 @@
             run.lateness_logged = True
             _log.warning(
                 "Job will be late.",
-                job=run.held.row.job,
+                job=run.stored.row.job,
                 items=late,
                 due_in_s=round(due_in_s, 1),
             )
@@ -161,7 +163,7 @@
         if table is None or not self.may_start():
             return False
         wall = self.clock()
-        candidates = next_turns(
+        candidates = next_candidates(
             self._runnable(table, wall),
             seconds_left=self.items.seconds_left,
             now=trio.current_time(),
@@ -218,7 +220,7 @@
     ) -> Iterator[tuple[JobRun, Route]]:
         """Yields jobs with their routes; fails the pending items of expired ones."""
         for run in list(self.runs.values()):
-            row = run.held.row
+            row = run.stored.row
             route = table.match(row.host, row.path)
             if route is not None and wall <= row.expires_at + EXPIRY_MARGIN_S:
                 yield run, route
--- a/src/coppercleat/jobs/_sweep.py
+++ b/src/coppercleat/jobs/_sweep.py
@@ -10,7 +10,7 @@
 from coppercleat.errors import CoppercleatError
 from coppercleat.jobs._index import JobIndex
 from coppercleat.jobs._records import QuotaRow, job_key, quota_key
-from coppercleat.jobs._repository import Held
+from coppercleat.jobs._repository import StoredJob
 from coppercleat.observability import part_logger
 from coppercleat.routing import ranked
 from coppercleat.storage import (
@@ -44,7 +44,7 @@
         clock: Callable[[], float],
         owner: str,
         living: Callable[[], list[str]],
-        quota_of: Callable[[str, str], str | None],
+        quota_prefix_of: Callable[[str, str], str | None],
     ) -> None:
         """Prepares the sweeper.
 
@@ -55,8 +55,8 @@
           clock: Unix time in seconds.
           owner: Names this start of this instance.
           living: Names all living instances.
-          quota_of: Returns the prefix whose quota counts a host's and path's tokens,
-            None where no limit holds.
+          quota_prefix_of: Returns the route prefix whose quota counts the tokens of
+            a host and path; None where no limit applies.
         """
         self.platform = platform
         self.job_index = job_index
@@ -64,18 +64,18 @@
         self.clock = clock
         self.owner = owner
         self.living = living
-        self.quota_of = quota_of
+        self.quota_prefix_of = quota_prefix_of
 
     async def run(self) -> None:
         """Sweeps until cancelled."""
         while True:
             await trio.sleep(SWEEP_INTERVAL_S)
-            for held in self.job_index:
-                if self._is_ours(held):
-                    await self._sweep_logged(held)
+            for stored in self.job_index:
+                if self._is_ours(stored):
+                    await self._sweep_logged(stored)
 
-    def _is_ours(self, held: Held) -> bool:
-        row = held.row
+    def _is_ours(self, stored: StoredJob) -> bool:
+        row = stored.row
         if (
             row.open
             or self.clock() < row.accepted_at + self.keep_s + RETENTION_MARGIN_S
@@ -83,16 +83,18 @@
             return False
         return ranked(row.job, self.living())[0] == self.owner
 
-    async def _sweep_logged(self, held: Held) -> None:
+    async def _sweep_logged(self, stored: StoredJob) -> None:
         try:
-            if await self.sweep(held):
-                _log.info("Job swept away.", job=held.row.job)
+            if await self.sweep(stored):
+                _log.info("Job swept away.", job=stored.row.job)
         except CoppercleatError as error:
-            _log.info("A job could not be swept.", job=held.row.job, reason=str(error))
+            _log.info(
+                "A job could not be swept.", job=stored.row.job, reason=str(error)
+            )
 
-    async def sweep(self, held: Held) -> bool:
+    async def sweep(self, stored: StoredJob) -> bool:
         """Removes all of a job, its own row last; returns whether it did."""
-        row = held.row
+        row = stored.row
         for kind in ("result", "partial", "input"):
             rows = await self.platform.scan(
                 f"{kind}/{row.job}/", limit=1_000_000, part=row.host
@@ -101,14 +103,14 @@
                 await self.platform.transact(Transaction(deletes=keys, part=row.host))
         if row.input_object:
             await self.platform.delete_object(row.input_object)
-        return await self._remove_row(held)
+        return await self._remove_row(stored)
 
-    async def _remove_row(self, held: Held) -> bool:
+    async def _remove_row(self, stored: StoredJob) -> bool:
         """Removes a job's row and its tokens from the quota, at once."""
-        row = held.row
-        checks = [Check(job_key(row.job), held.version)]
+        row = stored.row
+        checks = [Check(job_key(row.job), stored.version)]
         puts = []
-        prefix = self.quota_of(row.host, row.path)
+        prefix = self.quota_prefix_of(row.host, row.path)
         if prefix is not None:
             key = quota_key(prefix)
             rows = await self.platform.read([key], part=row.host)
--- a/src/coppercleat/jobs/_worker.py
+++ b/src/coppercleat/jobs/_worker.py
@@ -10,16 +10,16 @@
 from coppercleat.ids import JobId
 from coppercleat.jobs._index import JobIndex
 from coppercleat.jobs._items import ItemRunner
-from coppercleat.jobs._records import NOBODY
+from coppercleat.jobs._records import NO_OWNER
 from coppercleat.jobs._repository import (
-    Held,
     JobRepository,
+    StoredJob,
     Superseded,
     commit_batch_size,
     limit_checkpoints,
 )
 from coppercleat.jobs._run import JobRun
-from coppercleat.jobs._stalled_jobs import StillJobs
+from coppercleat.jobs._stalled_jobs import StalledJobs
 from coppercleat.jobs._starter import MAX_INDEX_AGE_S, ItemStarter
 from coppercleat.observability import part_logger
 from coppercleat.routing import ranked
@@ -116,7 +116,7 @@
         self._orphans: dict[JobId, float] = {}
         self._active: set[JobId] = set()
         self._handovers: dict[JobId, list[ItemEvents]] = {}
-        self._stalled_jobs = StillJobs()
+        self._stalled_jobs = StalledJobs()
         self._nursery: trio.Nursery | None = None
         self._starter = ItemStarter(
             items,
@@ -144,7 +144,7 @@
         """Returns how many pending items cannot finish by their job's due time."""
         return self._starter.late_items()
 
-    def barred_items_s(self) -> list[float]:
+    def quarantined_items_s(self) -> list[float]:
         """Returns the seconds that each quarantined item has been in quarantine."""
         now = trio.current_time()
         return [
@@ -171,17 +171,17 @@
     # Ownership.
 
     @property
-    def may_own(self) -> bool:
+    def accepts_jobs(self) -> bool:
         """Whether new jobs may be assigned to this instance."""
         return self.holds_lease() and not self.stopping
 
     def _may_start(self) -> bool:
         age_s = trio.current_time() - self.job_index.fresh_at
-        return self.may_own and age_s < MAX_INDEX_AGE_S
+        return self.accepts_jobs and age_s < MAX_INDEX_AGE_S
 
-    def own(self, held: Held) -> None:
+    def start_accepted_job(self, stored: StoredJob) -> None:
         """Adds a job that was just accepted to the index, and starts it if owned."""
-        self.job_index.observe(held)
+        self.job_index.observe(stored)
 
     async def _follow_jobs(self) -> None:
         while True:
@@ -193,21 +193,21 @@
             self._log_stalled_jobs()
             await trio.sleep(self.pause_s())
 
-    def _job_changed(self, held: Held) -> None:
-        job = held.row.job
+    def _job_changed(self, stored: StoredJob) -> None:
+        job = stored.row.job
         run = self.runs.get(job)
-        if run is not None and run.held.version < held.version:
-            if not self._is_owned(held):
-                self._abandon(run, "ended" if held.row.ended else "taken over")
-        elif run is None and held.row.open and held.row.owner == self.owner:
-            self._start_job(held, "owned, found in a change")
-
-    def _start_job(self, held: Held, why: str) -> None:
-        job = held.row.job
+        if run is not None and run.stored.version < stored.version:
+            if not self._is_owned(stored):
+                self._abandon(run, "ended" if stored.row.ended else "taken over")
+        elif run is None and stored.row.open and stored.row.owner == self.owner:
+            self._start_job(stored, "owned, found in a change")
+
+    def _start_job(self, stored: StoredJob, why: str) -> None:
+        job = stored.row.job
         if job in self._active or self._nursery is None or self.stopping:
             return
         self._active.add(job)
-        self._nursery.start_soon(self._run_job, held, why)
+        self._nursery.start_soon(self._run_job, stored, why)
 
     def _take_over_orphans(self) -> None:
         """Takes over jobs whose owner is dead.
@@ -218,13 +218,13 @@
         now = trio.current_time()
         if not self.job_index.loaded or not self._may_start():
             return
-        for held in self.job_index:
-            job = held.row.job
-            if not held.row.open or job in self.runs or job in self._active:
+        for stored in self.job_index:
+            job = stored.row.job
+            if not stored.row.open or job in self.runs or job in self._active:
                 self._orphans.pop(job, None)
-            elif held.row.owner == self.owner:
-                self._start_job(held, "owned, but not running here")
-            elif self._owner_lives(held.row.owner, now):
+            elif stored.row.owner == self.owner:
+                self._start_job(stored, "owned, but not running here")
+            elif self._owner_lives(stored.row.owner, now):
                 self._orphans.pop(job, None)
             else:
                 since = self._orphans.setdefault(job, now)
@@ -232,28 +232,28 @@
                 if now - since >= rank * _TAKEOVER_STAGGER_S:
                     self._active.add(job)
                     assert self._nursery is not None
-                    self._nursery.start_soon(self._take_over, held)
+                    self._nursery.start_soon(self._take_over, stored)
 
     def _owner_lives(self, owner: str, now: float) -> bool:
         since = self._first_seen.setdefault(owner, now)
-        return owner != NOBODY and self.owner_lives(owner, since=since)
+        return owner != NO_OWNER and self.owner_lives(owner, since=since)
 
-    async def _take_over(self, held: Held) -> None:
+    async def _take_over(self, stored: StoredJob) -> None:
         try:
-            taken = await self.repository.take(held, owner=self.owner)
+            taken = await self.repository.take(stored, owner=self.owner)
         except CoppercleatError as error:
-            _log.info("Job takeover failed.", job=held.row.job, reason=str(error))
-            self._active.discard(held.row.job)
+            _log.info("Job takeover failed.", job=stored.row.job, reason=str(error))
+            self._active.discard(stored.row.job)
             return
         if isinstance(taken, Superseded):
-            self._active.discard(held.row.job)
-            if taken.held is not None:
-                self.job_index.observe(taken.held)
+            self._active.discard(stored.row.job)
+            if taken.stored is not None:
+                self.job_index.observe(taken.stored)
             return
-        _log.info("Job taken over.", job=held.row.job, owner_before=held.row.owner)
+        _log.info("Job taken over.", job=stored.row.job, owner_before=stored.row.owner)
         self.job_index.observe(taken)
-        self.on_taken(held.row.job)
-        await self._wait_for_handover(held.row.job)
+        self.on_taken(stored.row.job)
+        await self._wait_for_handover(stored.row.job)
         await self._run_job(taken, "taken over")
 
     def _log_stalled_jobs(self) -> None:
@@ -263,10 +263,10 @@
         """
         now = trio.current_time()
         stalled = self._stalled_jobs.look(
-            self.job_index, is_ours_to_say=self._should_report, now=now
+            self.job_index, should_report=self._should_report, now=now
         )
-        for held, stalled_s in stalled:
-            job, owner = held.row.job, held.row.owner
+        for stored, stalled_s in stalled:
+            job, owner = stored.row.job, stored.row.owner
             run = self.runs.get(job)
             pending = run.pending if run is not None else []
             quarantined = {
@@ -279,7 +279,7 @@
                 "Job is stalled.",
                 job=job,
                 still_s=round(stalled_s, 1),
-                version=held.version,
+                version=stored.version,
                 owner=owner,
                 owner_lives=self._owner_lives(owner, now),
                 held=run is not None,
@@ -292,13 +292,13 @@
                 jobs_age_s=round(now - self.job_index.fresh_at, 1),
             )
 
-    def _should_report(self, held: Held) -> bool:
-        run = self.runs.get(held.row.job)
+    def _should_report(self, stored: StoredJob) -> bool:
+        run = self.runs.get(stored.row.job)
         if run is not None and run.running:
             return False
-        if held.row.owner == self.owner:
+        if stored.row.owner == self.owner:
             return True
-        return ranked(held.row.job, self.living())[0] == self.owner
+        return ranked(stored.row.job, self.living())[0] == self.owner
 
     async def _wait_for_handover(self, job: JobId) -> None:
         """Waits briefly for the progress that the previous owner may send."""
@@ -306,7 +306,7 @@
             while job not in self._handovers:
                 await trio.sleep(_HANDOVER_POLL_S)
 
-    def taken_elsewhere(self, job: JobId) -> list[ItemEvents]:
+    def stop_taken_job(self, job: JobId) -> list[ItemEvents]:
         """Stops a job that another instance has taken over; returns its progress.
 
         Without a working store, the new owner's message is the only notice of the
@@ -319,7 +319,7 @@
         self._abandon(run, "taken over, reported by the new owner")
         return progress
 
-    def handed_over(self, job: JobId, items: list[ItemEvents]) -> None:
+    def receive_handover(self, job: JobId, items: list[ItemEvents]) -> None:
         """Takes the previous owner's progress of a job that is not loaded yet."""
         if job in self._active and job not in self.runs:
             self._handovers[job] = items
@@ -327,12 +327,12 @@
 
     # Running a job.
 
-    async def _run_job(self, held: Held, why: str) -> None:
+    async def _run_job(self, stored: StoredJob, why: str) -> None:
         """Runs a job until all its items are listed or it is no longer owned."""
-        job = held.row.job
+        job = stored.row.job
         began = trio.current_time()
         try:
-            run = await self._load(held)
+            run = await self._load(stored)
             if run is None:
                 _log.info(
                     "Job stopped.", job=job, why="ownership changed during loading"
@@ -343,7 +343,7 @@
                 "Job started.",
                 job=job,
                 why=why,
-                version=run.held.version,
+                version=run.stored.version,
                 pending=len(run.pending),
                 finished=len(run.finished),
                 ms=round((trio.current_time() - began) * 1000),
@@ -355,38 +355,38 @@
             self._active.discard(job)
             self._handovers.pop(job, None)
 
-    async def _load(self, held: Held) -> JobRun | None:
+    async def _load(self, stored: StoredJob) -> JobRun | None:
         while True:
             try:
-                items = await self.repository.items(held.row)
-                checkpoints = await self.repository.checkpoints(held.row)
+                items = await self.repository.items(stored.row)
+                checkpoints = await self.repository.checkpoints(stored.row)
                 # The job may have been cancelled or taken over during these reads.
-                newest = self.job_index.get(held.row.job)
-                if newest is not None and newest.version > held.version:
-                    held = newest
-                if not self._is_owned(held):
+                newest = self.job_index.get(stored.row.job)
+                if newest is not None and newest.version > stored.version:
+                    stored = newest
+                if not self._is_owned(stored):
                     return None
-                run = JobRun(held, items, checkpoints)
-                run.apply_handover(self._handovers.pop(held.row.job, []))
+                run = JobRun(stored, items, checkpoints)
+                run.apply_handover(self._handovers.pop(stored.row.job, []))
                 return run
             except CoppercleatError as error:
                 _log.info(
                     "Job could not be loaded; retrying.",
-                    job=held.row.job,
+                    job=stored.row.job,
                     reason=str(error),
                 )
             await trio.sleep(_RETRY_DELAY_S)
-            newest = self.job_index.get(held.row.job)
+            newest = self.job_index.get(stored.row.job)
             if newest is None or not self._is_owned(newest):
                 return None
-            held = newest
+            stored = newest
 
-    def _is_owned(self, held: Held) -> bool:
-        return held.row.owner == self.owner and not held.row.ended
+    def _is_owned(self, stored: StoredJob) -> bool:
+        return stored.row.owner == self.owner and not stored.row.ended
 
     async def _commit_until_done(self, run: JobRun) -> None:
         checkpointed_at = trio.current_time()
-        while run.held.row.job in self.runs:
+        while run.stored.row.job in self.runs:
             now = trio.current_time()
             checkpoints = {}
             if now - checkpointed_at >= CHECKPOINT_INTERVAL_S:
@@ -399,7 +399,7 @@
                     return
             elif run.all_listed:
                 _log.info(
-                    "Job completed.", job=run.held.row.job, items=run.held.row.total
+                    "Job completed.", job=run.stored.row.job, items=run.stored.row.total
                 )
                 return
             await trio.sleep(_COMMIT_INTERVAL_S)
@@ -410,28 +410,28 @@
         """Commits once; returns whether the job is still owned."""
         batch = run.finished[: commit_batch_size(run.finished)]
         try:
-            held = await self.repository.commit(
-                run.held, batch, checkpoints, owner=owner
+            stored = await self.repository.commit(
+                run.stored, batch, checkpoints, owner=owner
             )
         except CoppercleatError as error:
             self.on_commit(error.kind)
             _log.info(
                 "Commit failed; retrying.",
-                job=run.held.row.job,
+                job=run.stored.row.job,
                 finished=len(batch),
                 kind=error.kind,
                 reason=error.message,
             )
             await trio.sleep(_RETRY_DELAY_S)
             return True
-        if isinstance(held, Superseded):
+        if isinstance(stored, Superseded):
             self.on_commit("superseded")
-            return self._resolve_conflict(run, held)
+            return self._resolve_conflict(run, stored)
         self.on_commit("done")
-        run.held = held
+        run.stored = stored
         del run.finished[: len(batch)]
         run.record_checkpoints(checkpoints)
-        self.job_index.observe(held)
+        self.job_index.observe(stored)
         return True
 
     def _resolve_conflict(self, run: JobRun, superseded: Superseded) -> bool:
@@ -440,27 +440,27 @@
         After a commit whose response was lost, the row is newer but has the same owner:
         the items that it lists must not be committed again.
         """
-        held = superseded.held
-        if held is None or not self._is_owned(held):
+        stored = superseded.stored
+        if stored is None or not self._is_owned(stored):
             self._abandon(run, "changed by another instance")
-            if held is not None:
-                self.job_index.observe(held)
+            if stored is not None:
+                self.job_index.observe(stored)
             return False
-        listed = set(held.row.listed)
-        run.held = held
+        listed = set(stored.row.listed)
+        run.stored = stored
         run.finished = [item for item in run.finished if item.index not in listed]
-        self.job_index.observe(held)
+        self.job_index.observe(stored)
         return True
 
     def _abandon(self, run: JobRun, why: str) -> None:
-        job = run.held.row.job
+        job = run.stored.row.job
         self.runs.pop(job, None)
         self.items.stop_job(run)
         _log.info("Job stopped.", job=job, why=why)
 
     # Shutdown.
 
-    async def hand_over(self) -> None:
+    async def release_jobs(self) -> None:
         """Stops all items, stores their progress, and releases all jobs."""
         self.stopping = True
         self.items.stop_all()
@@ -469,13 +469,13 @@
                 nursery.start_soon(self._release, run)
 
     async def _release(self, run: JobRun) -> None:
-        self.runs.pop(run.held.row.job, None)
+        self.runs.pop(run.stored.row.job, None)
         while run.running:
             await trio.sleep(_STOP_POLL_S)
         for _ in range(3):
             checkpoints = limit_checkpoints(run.new_checkpoints(1))
-            if not await self._commit(run, checkpoints, owner=NOBODY):
+            if not await self._commit(run, checkpoints, owner=NO_OWNER):
                 return
-            if run.held.row.owner == NOBODY:
-                _log.info("Job released.", job=run.held.row.job)
+            if run.stored.row.owner == NO_OWNER:
+                _log.info("Job released.", job=run.stored.row.job)
                 return
--- a/tests/features/steps/answer_steps.py
+++ b/tests/features/steps/answer_steps.py
@@ -9,7 +9,7 @@
 from behave import then, when
 
 from coppercleat.ids import InstanceId, JobId, RequestId, UpstreamId, ZoneId
-from coppercleat.jobs import Held, ItemRunner, ItemSpec, JobRow, JobRun
+from coppercleat.jobs import ItemRunner, ItemSpec, JobRow, JobRun, StoredJob
 from coppercleat.serving import (
     Admission,
     AdmissionQueue,
@@ -244,7 +244,7 @@
         due_at=60.0,
         expires_at=60.0,
     )
-    context.run = JobRun(Held(row, 1), [ItemSpec("item", "/", [], b"", 1)], {})
+    context.run = JobRun(StoredJob(row, 1), [ItemSpec("item", "/", [], b"", 1)], {})
     context.caller = ScriptedCaller(scripts.split(" / "))
     trio.run(
         run_item,
--- a/tests/features/steps/foreign_entry_steps.py
+++ b/tests/features/steps/foreign_entry_steps.py
@@ -174,7 +174,7 @@
             for _ in range(READS):
                 index._rescan_at = float("-inf")
                 await index.refresh()
-        return {str(held.row.job): held.version for held in index}
+        return {str(stored.row.job): stored.version for stored in index}
 
     context.known = trio.run(play)
 
--- a/tests/features/steps/job_steps.py
+++ b/tests/features/steps/job_steps.py
@@ -9,12 +9,12 @@
 from coppercleat.gateway import JobService
 from coppercleat.ids import JobId, UpstreamId
 from coppercleat.jobs import (
-    Finished,
-    Held,
+    FinishedItem,
     ItemState,
     JobIndex,
     JobRow,
-    StillJobs,
+    StalledJobs,
+    StoredJob,
     Superseded,
 )
 from coppercleat.storage import MemoryPlatform
@@ -30,7 +30,7 @@
 
 
 def finished(index):
-    return Finished(
+    return FinishedItem(
         index=index, item=f"job-{index}", state=ItemState.COMPLETED, text=b"x"
     )
 
@@ -49,13 +49,13 @@
 def end_then_commit(context, count, done):
     async def run():
         repository = make_repository()
-        held = await accept_job(repository, submission("job", count))
+        stored = await accept_job(repository, submission("job", count))
         # In another order than that of the items.
         for index in reversed(range(done)):
-            held = await repository.commit(held, [finished(index)], {})
+            stored = await repository.commit(stored, [finished(index)], {})
         assert await repository.end(HOST, JobId("job"))
         assert await repository.end(HOST, JobId("job")), "it can be ended again"
-        context.answer = await repository.commit(held, [finished(done)], {})
+        context.answer = await repository.commit(stored, [finished(done)], {})
         context.read = [await read_on(repository, count, at) for at in range(count)]
 
     trio.run(run)
@@ -68,7 +68,7 @@
 )
 def commit_refused(context, done):
     assert isinstance(context.answer, Superseded)
-    assert context.answer.held.row.ended
+    assert context.answer.stored.row.ended
     listed = context.read[0]
     states = ["completed"] * done + ["cancelled"] * (context.count - done)
     assert [result.state.value for result in listed] == states, listed
@@ -156,13 +156,13 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(worker.run)
             await trio.sleep(0.1)
-            held = await accept_job(repository, submission("job", count))
-            worker.own(held)
+            stored = await accept_job(repository, submission("job", count))
+            worker.start_accepted_job(stored)
             await trio.sleep(0.2)
             if changes == "is ended":
                 await repository.end(HOST, JobId("job"))
             elif changes == "is taken by another":
-                await repository.take(held, owner="other/1")
+                await repository.take(stored, owner="other/1")
             if changes != "stays as it is":
                 job_index.observe(await repository.find(HOST, JobId("job")))
             await trio.sleep(0.6)
@@ -179,7 +179,7 @@
 
 @when("{jobs:d} open jobs beside an ended one are looked at for {seconds:d} s")
 def jobs_looked_at(context, jobs, seconds):
-    def held(name, *, ended=False):
+    def stored(name, *, ended=False):
         row = JobRow(
             job=JobId(name),
             host=HOST,
@@ -190,13 +190,15 @@
             expires_at=60.0,
             ended=ended,
         )
-        return Held(row, 1)
+        return StoredJob(row, 1)
 
-    known = [held(f"j-{number}") for number in range(jobs)] + [held("e", ended=True)]
-    still = StillJobs()
+    known = [stored(f"j-{number}") for number in range(jobs)] + [
+        stored("e", ended=True)
+    ]
+    still = StalledJobs()
     context.said = []
     for now in range(seconds + 1):
-        found = still.look(known, is_ours_to_say=lambda job: True, now=float(now))
+        found = still.look(known, should_report=lambda job: True, now=float(now))
         context.said += [job.row.job for job, _ in found]
 
 
--- a/tests/features/steps/kept_item_steps.py
+++ b/tests/features/steps/kept_item_steps.py
@@ -79,7 +79,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(worker.run)
             await trio.sleep(0.1)
-            worker.own(await accept_job(repository, job))
+            worker.start_accepted_job(await accept_job(repository, job))
             await trio.sleep(0.9)
             if what.endswith("s pass"):
                 await trio.sleep(float(what.split()[0]))
@@ -148,7 +148,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(worker.run)
             await trio.sleep(0.1)
-            worker.own(await accept_job(repository, job))
+            worker.start_accepted_job(await accept_job(repository, job))
             await trio.sleep(count / slots + 5.0)
             nursery.cancel_scope.cancel()
 
--- a/tests/features/steps/kept_jobs_steps.py
+++ b/tests/features/steps/kept_jobs_steps.py
@@ -231,7 +231,7 @@
     async with trio.open_nursery() as nursery:
         nursery.start_soon(worker.run)
         await trio.sleep(0.1)
-        worker.own(await accept_job(repository, submission("job", 1)))
+        worker.start_accepted_job(await accept_job(repository, submission("job", 1)))
         found = await first_moment(lambda now: state.batch > 0)
         nursery.cancel_scope.cancel()
     return found
--- a/tests/features/steps/serving_steps.py
+++ b/tests/features/steps/serving_steps.py
@@ -13,17 +13,17 @@
 from coppercleat.errors import PlatformUnavailableError
 from coppercleat.ids import InstanceId, JobId, Revision, UpstreamId, ZoneId
 from coppercleat.jobs import (
-    Finished,
-    Held,
-    ItemPace,
+    FinishedItem,
+    ItemDurationEstimator,
     ItemState,
     JobIndex,
     JobRow,
     JobRun,
     OverQuota,
+    StoredJob,
     Superseded,
     Sweeper,
-    next_turns,
+    next_candidates,
 )
 from coppercleat.membership import EnvelopeWriter, Heartbeat, MemberLine
 from coppercleat.observability import LineBudget, LineOutput
@@ -244,7 +244,7 @@
 
 @then("{accepted:d} of them are accepted and the others refused as over quota")
 def accepted_count(context, accepted):
-    found = [a for a in context.accepted if isinstance(a, Held)]
+    found = [a for a in context.accepted if isinstance(a, StoredJob)]
     others = [a for a in context.accepted if isinstance(a, OverQuota)]
     assert len(found) == accepted, context.accepted
     assert len(found) + len(others) == len(context.accepted)
@@ -270,30 +270,30 @@
     text = b"w" * 120_000 if trouble == "long texts" else b"word"
 
     async def run():
-        held = await accept_job(repository, submission("job", count))
+        stored = await accept_job(repository, submission("job", count))
         done = [
-            Finished(index=i, item=f"job-{i}", state=ItemState.COMPLETED, text=text)
+            FinishedItem(index=i, item=f"job-{i}", state=ItemState.COMPLETED, text=text)
             for i in range(count)
         ]
         platform.losing = trouble == "every answer lost"
         while done:
             if trouble == "another owner between":
-                taken = await repository.take(held, owner="other/1")
-                assert isinstance(taken, Held)
-                held, stale = taken, held
+                taken = await repository.take(stored, owner="other/1")
+                assert isinstance(taken, StoredJob)
+                stored, stale = taken, stored
                 refused = await repository.commit(stale, done[:2], {})
                 assert isinstance(refused, Superseded)
             try:
-                answer = await repository.commit(held, done[:2], {})
+                answer = await repository.commit(stored, done[:2], {})
             except AnswerLostError:
                 platform.losing = False
-                answer = await repository.commit(held, done[:2], {})
+                answer = await repository.commit(stored, done[:2], {})
                 assert isinstance(answer, Superseded), "applied twice"
-                held = answer.held
+                stored = answer.stored
                 platform.losing = True
             else:
-                held = answer
-            listed = set(held.row.listed)
+                stored = answer
+            listed = set(stored.row.listed)
             done = [item for item in done if item.index not in listed]
         context.results = []
         while len(context.results) < count:
@@ -301,7 +301,7 @@
             page = await repository.results(HOST, JobId("job"), count, after=after)
             assert page.results and page.next == after + len(page.results), page
             context.results += page.results
-        context.row = held.row
+        context.row = stored.row
 
     trio.run(run)
     context.item_text, context.count = text, count
@@ -320,12 +320,12 @@
     async def run():
         repository = make_repository()
         job = submission("job", count, body=b"b" * size)
-        held = await accept_job(repository, job)
-        assert bool(held.row.input_object) == (place == "an object"), held.row
-        assert await repository.items(held.row) == job.items
-        assert await accept_job(repository, job) == held
+        stored = await accept_job(repository, job)
+        assert bool(stored.row.input_object) == (place == "an object"), stored.row
+        assert await repository.items(stored.row) == job.items
+        assert await accept_job(repository, job) == stored
         objects = repository.platform.objects
-        assert len(objects) == bool(held.row.input_object), "a resend left an object"
+        assert len(objects) == bool(stored.row.input_object), "a resend left an object"
 
     trio.run(run)
 
@@ -393,7 +393,7 @@
 @then("an item with {made:d} events made is taken to need {least:g} to {most:g} s more")
 def needs(context, made, least, most):
     length, times = context.scenario.name.split()[2].split("x")
-    pace = ItemPace()
+    pace = ItemDurationEstimator()
     for _ in range(int(times)):
         pace.observe_run(events=int(length), seconds=int(length) * 0.02)
         pace.observe_item(events=int(length))
@@ -411,13 +411,13 @@
     async def run():
         repository = make_repository(context.platform)
         job = submission("job", count, body=b"b" * size)
-        held = await accept_job(repository, job, limit=10_000)
-        assert isinstance(held, Held), held
+        stored = await accept_job(repository, job, limit=10_000)
+        assert isinstance(stored, StoredJob), stored
         done = [
-            Finished(index=i, item=f"job-{i}", state=ItemState.COMPLETED, text=b"x")
+            FinishedItem(index=i, item=f"job-{i}", state=ItemState.COMPLETED, text=b"x")
             for i in range(count if state == "done" else 1)
         ]
-        held = await repository.commit(held, done, {})
+        stored = await repository.commit(stored, done, {})
         if state == "ended":
             await repository.end(HOST, JobId("job"))
         job_index = JobIndex(context.platform)
@@ -429,7 +429,7 @@
             clock=lambda: float(ago),
             owner="me/1",
             living=lambda: ["me/1"],
-            quota_of=lambda host, path: PREFIX,
+            quota_prefix_of=lambda host, path: PREFIX,
         )
         with trio.move_on_after(6):
             await sweeper.run()
@@ -466,11 +466,11 @@
             expires_at=60.0,
         )
         specs = submission(name, row.total).items
-        run = JobRun(Held(row, 1), specs, {})
+        run = JobRun(StoredJob(row, 1), specs, {})
         for item, events in zip(run.pending, made.split(","), strict=True):
             item.events = [b"x"] * int(events)
         runs.append((run, make_route()))
-    found = next_turns(
+    found = next_candidates(
         runs,
         seconds_left=lambda item: 4.0 - len(item.events) * 0.02,
         now=0.0,
@@ -496,8 +496,8 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(worker.run)
                 await trio.sleep(0.1)
-                held = await accept_job(repository, submission("job", count))
-                worker.own(held)
+                stored = await accept_job(repository, submission("job", count))
+                worker.start_accepted_job(stored)
                 await trio.sleep(1.8)
                 context.running = placement.states[UpstreamId("x")].batch
                 nursery.cancel_scope.cancel()
