--- a/src/coppercleat/serving/_model.py
+++ b/src/coppercleat/serving/_model.py
@@ -1,4 +1,4 @@
-"""Routes, upstreams and requests, as the serving path knows them."""
+"""Data types of the serving path: routes, upstreams, requests and refusals."""
 
 from __future__ import annotations
 
@@ -14,12 +14,11 @@
 Header = tuple[bytes, bytes]
 """A header's name in lower case, and its value."""
 
-
 _AUTHORIZATION = b"authorization"
 
 
 class RouteKind(enum.Enum):
-    """What may be done with a request of a route."""
+    """How the requests of a route are served and retried."""
 
     IDEMPOTENT = "idempotent"
     AT_MOST_ONCE = "at_most_once"
@@ -28,7 +27,7 @@
 
 
 class Target(msgspec.Struct, frozen=True):
-    """A service that takes a share of a route's requests."""
+    """A service that receives a weighted share of a route's requests."""
 
     service: str
     weight: float
@@ -38,16 +37,19 @@
     """One route of the configuration in force.
 
     Attributes:
-      prefix: Requests whose path begins with it belong to the route.
-      timeout_s: Longest time a request is kept waiting.
-      target_latency_s: To the first event of a stream, else to the answer.
-      gap_target_s: Longest pause between events that is still on time.
-      max_attempts: Upstreams that one request, or failures that one batch item,
-        may meet.
-      resumable: Whether a cut stream may go on at another upstream.
-      completion_target_s: How long after its submission a job is due.
-      retention_s: How long after its submission an item may be given up.
-      max_waiting_tokens: Tokens of unfinished items at most; 0 for no limit.
+      prefix: Path prefix of the requests that belong to the route.
+      targets: Services that share the route's requests.
+      timeout_s: Time limit of a request, in seconds.
+      target_latency_s: Latency target in seconds: to the first event for a stream,
+        to the complete response otherwise.
+      gap_target_s: Target for the time between two events of a stream, in seconds.
+      max_attempts: Upstreams that may be tried for one request; for a batch item,
+        failures that it may have.
+      priority: Priority among queued online requests; 0 is the most urgent.
+      resumable: Whether an interrupted stream may be resumed at another upstream.
+      completion_target_s: Seconds after its submission at which a job is due.
+      retention_s: Seconds after its submission at which an item may be given up.
+      max_waiting_tokens: Limit on the tokens of unfinished items; 0 for no limit.
     """
 
     name: str
@@ -67,20 +69,24 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request that may have run may be sent again."""
+        """Whether a request that may already have run may be retried."""
         return self.kind is RouteKind.IDEMPOTENT or self.resumes
 
     @property
     def resumes(self) -> bool:
-        """Whether an answer that was cut may go on: other bodies have no numbers."""
+        """Whether an interrupted response may be resumed: only events are numbered."""
         return self.kind is RouteKind.STREAM and self.resumable
 
 
 class ClientLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """What a client may send and how long it may take.
+    """Limits on the size and the pace of client requests.
 
     Attributes:
-      header_timeout_s: For a request's head, and between the parts of its body.
+      header_bytes: Size limit of a request's head.
+      body_bytes: Size limit of a request's body.
+      header_timeout_s: Seconds allowed for a request's head, and between two parts
+        of its body.
+      idle_timeout_s: Idle timeout of a client's connection, in seconds.
     """
 
     header_bytes: int = 16_384
@@ -90,7 +96,7 @@
 
 
 class RouteConfig(msgspec.Struct, frozen=True, kw_only=True):
-    """One version of the routes; versions only ever grow."""
+    """One version of the routes; versions increase monotonically."""
 
     version: int
     routes: tuple[Route, ...]
@@ -98,16 +104,18 @@
 
 
 class Upstream(msgspec.Struct, frozen=True, kw_only=True):
-    """A model engine or service as the platform lists it.
+    """A model engine or plain service as the platform lists it.
 
     Attributes:
-      id: Names the upstream; it may start again under the same.
-      address: ``IP:PORT``; may later belong to another upstream.
-      slots: Requests that it runs side by side.
-      draining: Whether it has said that it will leave.
-      cold_s: Seconds for which it stays slow after its start.
-      born_ms: Unix milliseconds of its start by its own clock: another value is
-        another life, which holds and knows nothing of the one before; 0 if unknown.
+      id: Stays the same when the upstream restarts.
+      service: Service that the upstream implements.
+      address: ``IP:PORT``; may be reused by another upstream later.
+      zone: Availability zone of the upstream.
+      slots: Requests that it processes concurrently.
+      draining: Whether it has announced that it will shut down.
+      cold_s: Seconds for which it is slow after its start.
+      born_ms: Start time by its own clock, in Unix milliseconds; it identifies the
+        incarnation, which shares no state with earlier ones. 0 if unknown.
     """
 
     id: UpstreamId
@@ -120,20 +128,21 @@
     born_ms: int = 0
 
     def is_same_life(self, born_ms: int) -> bool | None:
-        """Returns whether this start is the one of a birth; None if it is not known."""
+        """Returns whether the start time is of this incarnation; None if unknown."""
         if 0 in (self.born_ms, born_ms):
             return None
         return self.born_ms == born_ms
 
 
 class OnlineRequest(msgspec.Struct, kw_only=True, dict=True):
-    """A client's request, to be passed on unchanged.
+    """A client's request, forwarded to an upstream unchanged.
 
     Attributes:
       target: Path and query as the client sent them.
-      headers: Without those that concern one connection only.
-      allowed_s: Seconds that the client will wait, from its arrival.
-      resume_after: Number of the last event that the client has; None for none.
+      headers: End-to-end headers; hop-by-hop headers are removed.
+      allowed_s: Seconds from its arrival after which the client gives up.
+      resume_after: Number of the last event that the client has received; None for a
+        new request.
     """
 
     request_id: RequestId
@@ -152,7 +161,7 @@
 
     @functools.cached_property
     def fingerprint(self) -> Fingerprint:
-        """Names what it asks: the same when a client sends it again."""
+        """Identifies the request's content; a resend has the same fingerprint."""
         return fingerprint_of(
             method=self.method,
             host=self.host,
@@ -163,7 +172,7 @@
 
     @property
     def _account(self) -> bytes:
-        """What the client proves its account by, if it does."""
+        """The client account's credentials; empty without any."""
         for name, value in self.headers:
             if name.lower() == _AUTHORIZATION:
                 return value
@@ -171,7 +180,7 @@
 
 
 class RefusalReason(enum.Enum):
-    """Why a request gets an answer of our own."""
+    """Why the gateway itself answers a request with an error."""
 
     NO_CONFIGURATION = "no_configuration"
     NO_ROUTE = "no_route"
@@ -186,10 +195,11 @@
 
 
 class Refusal(msgspec.Struct, frozen=True, kw_only=True):
-    """An answer of our own in place of an upstream's.
+    """An error response of the gateway in place of an upstream's response.
 
     Attributes:
-      retry_after_s: When to come back, for requests that were not run.
+      detail: Cause in words, sent to the client.
+      retry_after_s: Seconds after which to retry a request that was not run.
     """
 
     reason: RefusalReason
@@ -198,26 +208,26 @@
 
 
 class Reply(Protocol):
-    """Where the answer to one request goes."""
+    """Writes the response to one client request."""
 
     async def start(self, status: int, headers: list[Header]) -> None:
-        """Sends status and headers of an upstream's answer."""
+        """Sends status and headers of an upstream's response."""
         ...
 
     async def send(self, data: bytes) -> None:
-        """Sends a part of the body."""
+        """Sends the next part of the body."""
         ...
 
     async def finish(self) -> None:
-        """Ends the body as complete."""
+        """Ends a complete body."""
         ...
 
     async def abort(self) -> None:
-        """Ends the answer so that the client sees it as broken off."""
+        """Ends the response so that the client sees that it is incomplete."""
         ...
 
     async def refuse(self, refusal: Refusal) -> None:
-        """Sends an answer of our own; nothing may have been sent before."""
+        """Sends a refusal; nothing may have been sent before."""
         ...
 
 
@@ -225,7 +235,7 @@
     """Finds the route of a request.
 
     Attributes:
-      config: The configuration it was built from.
+      config: The configuration that the table was built from.
     """
 
     def __init__(self, config: RouteConfig) -> None:
@@ -237,7 +247,7 @@
             routes.sort(key=lambda route: len(route.prefix), reverse=True)
 
     def match(self, host: str, path: str) -> Route | None:
-        """Returns the route with the longest prefix of the path, if any."""
+        """Returns the host's route with the longest matching prefix, if any."""
         for route in self._by_host.get(host.lower(), ()):
             if path.startswith(route.prefix):
                 return route
