--- a/src/coppercleat/gateway/_gateway.py
+++ b/src/coppercleat/gateway/_gateway.py
@@ -244,7 +244,7 @@
 
     def _waiting(self) -> tuple[Waiting, ...]:
         now = trio.current_time()
-        return (*self.admission.queue.told(now=now), *self.worker.waiting())
+        return (*self.admission.queue.summary(now=now), *self.worker.waiting())
 
     def _isolated(self) -> bool:
         """Whether neither the store nor any other instance can be heard."""
--- a/src/coppercleat/serving/_admission_queue.py
+++ b/src/coppercleat/serving/_admission_queue.py
@@ -1,11 +1,9 @@
-"""Where online requests wait for a slot, and which of them are refused at once.
-
-Answers the load in which online requests alone need more slots than there are, as in
-a wave of requests after half of the upstreams were lost. An upstream's own queue is
-first come, first served: there everybody waits the same while, and in a wave nearly
-all are late though the slots could have served most of them on time. Here those that
-can be on time go first, the late ones fill the gaps, and who cannot be served before
-the client gives up is told so at once.
+"""Admission queue: online requests wait here for a slot or are shed.
+
+When demand exceeds the free slots, first come, first served would make nearly every
+request late. Requests that can still meet their latency target are dispatched first,
+late ones use what is left, and a request that cannot be served before its deadline is
+refused at once.
 """
 
 from __future__ import annotations
@@ -22,32 +20,31 @@
 from coppercleat.serving._placement import Nowhere, Placement
 from coppercleat.serving._upstream_state import UpstreamState
 
-MAX_WAITING = 512
-"""Requests that wait at one instance at most. It bounds memory; beyond it the wait
-would be longer than clients allow at any rate of slots seen."""
+MAX_QUEUE_LENGTH = 512
+"""Requests that may be queued at one instance; bounds memory."""
 
-MAX_TOLD = 32
-"""Waiting requests that others are told of one by one; the rest are told as one."""
+MAX_SUMMARY_ENTRIES = 32
+"""Queued requests that are reported to peers one by one; the rest is aggregated."""
 
-QUEUED_UPSTREAM = 1
-"""Late requests that may wait at an upstream itself while none here can be on time: a
-slot that the counts show as taken, of an instance that has just died, is used so."""
+MAX_QUEUED_PER_UPSTREAM = 1
+"""Late requests that may wait at an upstream while no request here can be on time.
+They use slots that the counts wrongly show as taken, as after a crash of a peer."""
 
 RETRY_AFTER_S = 0.1
-"""Shortest time after which to come back: a slot of a full fleet frees in about this
-time."""
+"""Shortest retry delay, in seconds: about the time until a slot of a full fleet is
+released."""
 
 LONGEST_RETRY_S = 5.0
-"""Longest time after which to come back: a wave of requests is over by then."""
+"""Longest retry delay, in seconds."""
 
 
 @attrs.frozen
 class TooLate:
-    """Sentinel: no slot frees before the client gives up.
+    """Sentinel: the request is shed, since no slot is released before its deadline.
 
     Attributes:
-      reason: Why, in words.
-      retry_after_s: When to come back.
+      reason: Cause in words.
+      retry_after_s: Seconds after which the client should retry.
     """
 
     reason: str
@@ -56,18 +53,20 @@
 
 @attrs.define(eq=False, kw_only=True)
 class Waiter:
-    """A request that waits for a slot.
+    """An online request in the admission queue.
+
+    All times are in seconds of this instance's clock.
 
     Attributes:
-      service: Whose upstreams can serve it.
-      priority: Rank of its route, 0 is the most urgent.
-      on_time_by: When it must be sent at the latest to be on time.
-      serve_by: When it must be sent at the latest to be answered at all.
-      begun: Whether a part of its answer has been sent: it is not refused any more.
+      service: Service whose upstreams can serve it.
+      priority: Priority of its route; 0 is the most urgent.
+      on_time_by: Latest time of dispatch at which it meets its latency target.
+      serve_by: Latest time of dispatch at which it is answered before its deadline.
+      begun: Whether a part of its response has been sent; then it is not shed.
       avoid: Upstreams that it must not be sent to.
-      verdict: Tells which others it should not be sent to, as things are.
-      outcome: The upstream whose slot it got, or why there is none; None while it
-        waits.
+      verdict: The quarantine's verdict on it; may exclude further upstreams.
+      outcome: The upstream whose slot it got, or why it got none; None while it is
+        queued.
     """
 
     service: str
@@ -79,26 +78,27 @@
     verdict: Verdict = FREE
     outcome: UpstreamState | Nowhere | TooLate | None = None
 
-    def place(self, now: float) -> Place:
-        """Returns its place in the order of the fleet."""
+    def position(self, now: float) -> Place:
+        """Returns its position in the queue of the whole fleet."""
         if now <= self.on_time_by:
             return Place(Rank.ONLINE, self.on_time_by)
         return Place(Rank.ONLINE_LATE, self.serve_by)
 
-    def turn(self, now: float) -> tuple[int, int, float]:
-        """Returns its place among those that wait at the same instance."""
-        place = self.place(now)
-        return place.rank, self.priority, place.due_at
+    def local_position(self, now: float) -> tuple[int, int, float]:
+        """Returns its sort key among the requests queued at this instance."""
+        position = self.position(now)
+        return position.rank, self.priority, position.due_at
 
 
 class AdmissionQueue:
-    """Decides who goes next; the clock and randomness are passed in.
+    """Decides which queued request gets the next slot; the clock is passed in.
 
     Attributes:
-      placement: Knows the upstreams and what is in flight there.
-      order: What waits at other instances.
-      demand: How fast requests come and how long they hold a slot.
-      closes_at: When this instance cuts what is still in flight; never, until it stops.
+      placement: Upstreams and the work in flight there.
+      order: Requests and items that are queued at other instances.
+      demand: Arrival rates and service times.
+      closes_at: When this instance cuts what is in flight, in seconds of its clock;
+        infinity until it shuts down.
     """
 
     def __init__(
@@ -112,199 +112,232 @@
         self.demand = placement.demand
         self._rng = rng
         self.closes_at = float("inf")
-        self._patience = Patience(rng)
-        self._returns: dict[str, float] = {}
-        self._waiting: list[Waiter] = []
+        self._yield_timer = Patience(rng)
+        self._next_retry_at: dict[str, float] = {}
+        self._queue: list[Waiter] = []
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._queue)
 
-    def enter(self, waiter: Waiter, *, now: float) -> None:
-        """Takes a request in, unless it cannot be served in time."""
-        waiter.outcome = self._too_late(waiter, now)
-        if waiter.outcome is None:
-            self._waiting.append(waiter)
+    def enter(self, request: Waiter, *, now: float) -> None:
+        """Queues a request, or sheds it if it cannot be served in time."""
+        request.outcome = self._shed_if_too_late(request, now)
+        if request.outcome is None:
+            self._queue.append(request)
 
-    def leave(self, waiter: Waiter) -> None:
-        """Drops a request whose client has gone."""
-        if waiter in self._waiting:
-            self._waiting.remove(waiter)
+    def leave(self, request: Waiter) -> None:
+        """Removes a request whose client has disconnected."""
+        if request in self._queue:
+            self._queue.remove(request)
 
     def settle(self, *, now: float, on_settled: Callable[[Waiter], None]) -> None:
-        """Gives slots to those whose turn it is, and up those that cannot be served.
+        """Gives free slots to the next requests and sheds those that cannot be served.
 
         Args:
           now: Seconds on this instance's clock.
-          on_settled: Told of each request that has an outcome now; counts the slot.
+          on_settled: Called with each request that has an outcome; counts its slot.
         """
-        still_waiting: list[Waiter] = []
-        before: collections.Counter[str] = collections.Counter()
-        elsewhere = {
-            service: self.order.line(service, now=now)
-            for service in {waiter.service for waiter in self._waiting}
+        still_queued: list[Waiter] = []
+        ahead_here: collections.Counter[str] = collections.Counter()
+        backlogs = {
+            service: self.order.backlog(service, now=now)
+            for service in {request.service for request in self._queue}
         }
         open_slots: dict[tuple[str, frozenset[UpstreamId]], int] = {}
         left_open = False
-        for waiter in sorted(self._waiting, key=lambda waiter: waiter.turn(now)):
-            service, asked = waiter.service, self._asked(waiter, now)
-            if asked not in open_slots:
-                open_slots[asked] = self._open(waiter, now)
-            ahead = elsewhere[service].ahead(waiter.place(now))
-            waiter.outcome = self._outcome(
-                waiter, open_slots[asked], before[service], ahead, now
+        for request in sorted(
+            self._queue, key=lambda request: request.local_position(now)
+        ):
+            service, candidates = request.service, self._candidate_key(request, now)
+            if candidates not in open_slots:
+                open_slots[candidates] = self._open_slots(request, now)
+            ahead_elsewhere = backlogs[service].ahead(request.position(now))
+            request.outcome = self._decide(
+                request,
+                open_slots[candidates],
+                ahead_here[service],
+                ahead_elsewhere,
+                now,
             )
-            if waiter.outcome is not None:
-                on_settled(waiter)
+            if request.outcome is not None:
+                on_settled(request)
                 open_slots.clear()
                 continue
-            left_open = left_open or open_slots[asked] > before[service]
-            before[service] += 1
-            still_waiting.append(waiter)
-        self._waiting = still_waiting
+            left_open = left_open or open_slots[candidates] > ahead_here[service]
+            ahead_here[service] += 1
+            still_queued.append(request)
+        self._queue = still_queued
         if not left_open:
-            self._patience.reset()
-
-    def told(self, *, now: float) -> tuple[Waiting, ...]:
-        """Returns what waits here, to be told to others."""
-        waiting = sorted(self._waiting, key=lambda waiter: waiter.place(now))
-        found = [_to_tell(waiter, 1, now) for waiter in waiting[:MAX_TOLD]]
+            self._yield_timer.reset()
+
+    def summary(self, *, now: float) -> tuple[Waiting, ...]:
+        """Returns what is queued here, as it is reported to peers."""
+        ordered = sorted(self._queue, key=lambda request: request.position(now))
+        entries = [
+            _queued_work(request, 1, now) for request in ordered[:MAX_SUMMARY_ENTRIES]
+        ]
         rest: dict[str, list[Waiter]] = {}
-        for waiter in waiting[MAX_TOLD:]:
-            rest.setdefault(waiter.service, []).append(waiter)
-        found += [_to_tell(those[0], len(those), now) for those in rest.values()]
-        return tuple(found)
+        for request in ordered[MAX_SUMMARY_ENTRIES:]:
+            rest.setdefault(request.service, []).append(request)
+        entries += [
+            _queued_work(requests[0], len(requests), now) for requests in rest.values()
+        ]
+        return tuple(entries)
 
-    # Whose turn it is.
+    # Dispatch.
 
-    def _outcome(
-        self, waiter: Waiter, slots: int, before: int, elsewhere: int, now: float
+    def _decide(
+        self,
+        request: Waiter,
+        slots: int,
+        ahead_here: int,
+        ahead_elsewhere: int,
+        now: float,
     ) -> UpstreamState | Nowhere | TooLate | None:
-        """Returns what a request gets now.
+        """Returns the outcome of a request, None if it stays queued.
 
         Args:
-          waiter: The request.
-          slots: Slots that are open to it.
-          before: How many go before it here.
-          elsewhere: How many go before it at other instances.
+          request: The request.
+          slots: Free slots that it could take.
+          ahead_here: Requests queued ahead of it at this instance.
+          ahead_elsewhere: Requests queued ahead of it at other instances.
           now: Seconds on this instance's clock.
         """
-        ahead = before + elsewhere
+        ahead = ahead_here + ahead_elsewhere
         if ahead < slots:
-            return self._slot(waiter, ahead, now)
-        if before < slots and self._patience.overdue(now):
-            self._patience.reset()
-            return self._slot(waiter, self._rng.randrange(slots), now)
-        if not self.placement.serves(waiter.service, avoid=self._avoid(waiter, now)):
-            return Nowhere(f"no upstream serves {waiter.service}")
-        if now > self._serve_by(waiter):
+            return self._take_slot(request, ahead, now)
+        if ahead_here < slots and self._yield_timer.overdue(now):
+            self._yield_timer.reset()
+            return self._take_slot(request, self._rng.randrange(slots), now)
+        if not self.placement.serves(
+            request.service, avoid=self._excluded(request, now)
+        ):
+            return Nowhere(f"no upstream serves {request.service}")
+        if now > self._dispatch_deadline(request):
             return TooLate("no slot came free in time", RETRY_AFTER_S)
-        if ahead == 0 and now > waiter.on_time_by:
-            return self._queue_upstream(waiter, now)
+        if ahead == 0 and now > request.on_time_by:
+            return self._queue_at_upstream(request, now)
         return None
 
-    def _queue_upstream(self, waiter: Waiter, now: float) -> UpstreamState | None:
+    def _queue_at_upstream(self, request: Waiter, now: float) -> UpstreamState | None:
         """Returns an upstream at which a late request may wait, if there is one."""
         chosen = self.placement.choose_online(
-            waiter.service, tried=self._avoid(waiter, now), now=now
+            request.service, tried=self._excluded(request, now), now=now
         )
-        if isinstance(chosen, Nowhere) or not self._may_queue(chosen, now):
+        if isinstance(chosen, Nowhere) or not self._may_queue_at(chosen, now):
             return None
         return chosen
 
-    def _may_queue(self, state: UpstreamState, now: float) -> bool:
-        """Returns whether a late request may wait at an upstream itself."""
+    def _may_queue_at(self, state: UpstreamState, now: float) -> bool:
+        """Returns whether a late request may wait at an upstream."""
         queued = -self.placement.online_slots(state)
-        return queued < QUEUED_UPSTREAM and now >= state.full_until
+        return queued < MAX_QUEUED_PER_UPSTREAM and now >= state.full_until
+
+    def _take_slot(self, request: Waiter, number: int, now: float) -> UpstreamState:
+        """Returns the upstream of the open slot with a number, from 0.
 
-    def _slot(self, waiter: Waiter, number: int, now: float) -> UpstreamState:
+        The first in the queue of the fleet gets the best upstream instead.
+        """
         if number == 0:
             chosen = self.placement.choose_online(
-                waiter.service, tried=self._avoid(waiter, now), now=now
+                request.service, tried=self._excluded(request, now), now=now
             )
             if isinstance(chosen, UpstreamState) and now >= chosen.full_until:
                 return chosen
         return self.placement.choose_open_slot(
-            waiter.service, number, avoid=self._avoid(waiter, now), now=now
+            request.service, number, avoid=self._excluded(request, now), now=now
         )
 
-    def _asked(self, waiter: Waiter, now: float) -> tuple[str, frozenset[UpstreamId]]:
-        """Returns what decides which slots are open to a request."""
-        return waiter.service, frozenset(self._avoid(waiter, now))
+    def _candidate_key(
+        self, request: Waiter, now: float
+    ) -> tuple[str, frozenset[UpstreamId]]:
+        """Returns a key that requests share which have the same open slots."""
+        return request.service, frozenset(self._excluded(request, now))
 
-    def _avoid(self, waiter: Waiter, now: float) -> Collection[UpstreamId]:
-        """Returns where a request must not be sent now.
+    def _excluded(self, request: Waiter, now: float) -> Collection[UpstreamId]:
+        """Returns the upstreams that a request must not be sent to now.
 
-        What was unsteady may be so no more, and what was steady may be gone.
+        Computed anew each time, since upstreams become steady or leave meanwhile.
         """
-        if not waiter.verdict.ends:
-            return waiter.avoid
-        unsteady = self.placement.to_avoid(waiter.verdict, waiter.service, now=now)
-        return unsteady | set(waiter.avoid)
+        if not request.verdict.ends:
+            return request.avoid
+        unsteady = self.placement.to_avoid(request.verdict, request.service, now=now)
+        return unsteady | set(request.avoid)
 
-    def _open(self, waiter: Waiter, now: float) -> int:
+    def _open_slots(self, request: Waiter, now: float) -> int:
         return self.placement.open_slots(
-            waiter.service, avoid=self._avoid(waiter, now), now=now
+            request.service, avoid=self._excluded(request, now), now=now
         )
 
-    # Who is refused.
+    # Load shedding.
 
-    def _too_late(self, waiter: Waiter, now: float) -> TooLate | None:
-        """Judges a new request by the rate at which slots come free."""
-        if len(self._waiting) >= MAX_WAITING:
+    def _shed_if_too_late(self, request: Waiter, now: float) -> TooLate | None:
+        """Returns a refusal if a new request would not get a slot in time.
+
+        The wait is estimated from the rate at which the service releases slots.
+        """
+        if len(self._queue) >= MAX_QUEUE_LENGTH:
             return TooLate("too many requests wait here", LONGEST_RETRY_S)
-        total = self.placement.total_slots(waiter.service, now=now)
+        total = self.placement.total_slots(request.service, now=now)
         missing = (
             1
-            + self._ahead(waiter.place(now), waiter.service, now)
-            - self._open(waiter, now)
+            + self._ahead(request.position(now), request.service, now)
+            - self._open_slots(request, now)
         )
-        if missing <= 0 or not total or waiter.begun:
+        if missing <= 0 or not total or request.begun:
             return None
-        rate = total / self.demand.of(waiter.service).service_s
-        if now + missing / rate <= waiter.on_time_by:
+        rate = total / self.demand.of(request.service).service_s
+        if now + missing / rate <= request.on_time_by:
             return None
-        # It will be late, and those on time go before it.
-        late = Place(Rank.ONLINE_LATE, waiter.serve_by)
-        last = 1 + self._ahead(late, waiter.service, now)
-        spare = rate - self.demand.fleet_rate(waiter.service, now=now)
-        if spare > 0 and now + last / spare <= self._serve_by(waiter):
+        # It will be late, so requests that can be on time are dispatched before it.
+        late = Place(Rank.ONLINE_LATE, request.serve_by)
+        last = 1 + self._ahead(late, request.service, now)
+        spare = rate - self.demand.fleet_rate(request.service, now=now)
+        if spare > 0 and now + last / spare <= self._dispatch_deadline(request):
             return None
-        wait_s = self._return_in_s(waiter.service, rate, missing / rate, now)
+        wait_s = self._retry_after_s(request.service, rate, missing / rate, now)
         reason = (
             f"no slot comes free in time: {last} wait, {rate:.0f} a second come free"
         )
         return TooLate(reason, wait_s)
 
-    def _serve_by(self, waiter: Waiter) -> float:
-        """Returns when a request must be sent at the latest, also for a stop."""
-        service_s = self.demand.of(waiter.service).service_s
-        return min(waiter.serve_by, self.closes_at - service_s)
+    def _dispatch_deadline(self, request: Waiter) -> float:
+        """Returns the latest time of dispatch, also in view of a shutdown."""
+        service_s = self.demand.of(request.service).service_s
+        return min(request.serve_by, self.closes_at - service_s)
 
-    def _ahead(self, place: Place, service: str, now: float) -> int:
-        own = sum(
-            other.service == service and other.place(now) < place
-            for other in self._waiting
+    def _ahead(self, position: Place, service: str, now: float) -> int:
+        """Returns how many requests of the whole fleet are queued ahead."""
+        ahead_here = sum(
+            other.service == service and other.position(now) < position
+            for other in self._queue
         )
-        return own + self.order.ahead(place, service=service, now=now)
+        return ahead_here + self.order.ahead(position, service=service, now=now)
 
-    def _return_in_s(
+    def _retry_after_s(
         self, service: str, rate: float, wait_s: float, now: float
     ) -> float:
-        """Returns when to come back, so that returns come as fast as slots free.
+        """Returns a retry delay that spreads retries over the released slots.
+
+        Each refused request gets the next time at which a slot of this instance's
+        share is released, with jitter.
 
-        Each refused request gets the next of the moments at which slots come free for
-        this instance's share of all requests, after those that wait now.
+        Args:
+          service: Service of the request.
+          rate: Slots that the service releases per second.
+          wait_s: Seconds until the queued requests ahead have slots.
+          now: Seconds on this instance's clock.
         """
         own = self.demand.of(service).rate(now=now)
         share = own / max(own, self.demand.fleet_rate(service, now=now), 1e-9)
         gap_s = 1 / max(rate * share, 1e-9)
-        last = self._returns.get(service, now)
+        last = self._next_retry_at.get(service, now)
         at = max(last, now + wait_s) + gap_s * self._rng.uniform(0.5, 1.5)
-        self._returns[service] = min(at, now + LONGEST_RETRY_S)
-        return max(RETRY_AFTER_S, self._returns[service] - now)
+        self._next_retry_at[service] = min(at, now + LONGEST_RETRY_S)
+        return max(RETRY_AFTER_S, self._next_retry_at[service] - now)
 
 
-def _to_tell(waiter: Waiter, count: int, now: float) -> Waiting:
-    """Returns what others are told of one that waits, and of those like it."""
-    place = waiter.place(now)
-    return Waiting(place.rank, place.due_at - now, waiter.service, count)
+def _queued_work(request: Waiter, count: int, now: float) -> Waiting:
+    """Returns the report on one queued request and others that it stands for."""
+    position = request.position(now)
+    return Waiting(position.rank, position.due_at - now, request.service, count)
--- a/src/coppercleat/serving/_fleet_order.py
+++ b/src/coppercleat/serving/_fleet_order.py
@@ -1,9 +1,9 @@
-"""The order in which all that waits in the fleet for a slot gets one.
+"""Queue order over all instances of the fleet.
 
-Answers the load in which more requests and items come than there are slots, at many
-instances that see the same free slot. Each instance tells the others what waits there,
-and takes a slot only when fewer of the others' wait before its own than there are free
-slots. So the most urgent goes first wherever it waits, and no slot is taken twice.
+All instances compete for the same free slots. Each reports its queued work to the
+others, and takes a slot only if fewer of their entries are ahead of its own than slots
+are free. Thus the most urgent work is dispatched first at whichever instance it is
+queued, and no slot is taken twice.
 """
 
 from __future__ import annotations
@@ -21,27 +21,27 @@
 
 
 class Rank(enum.IntEnum):
-    """What goes before what; within a rank, what is due sooner goes first."""
+    """Priority class; within a class, the earliest due time comes first."""
 
     ONLINE = 0
-    """An online request that can still be answered on time."""
+    """Online request that can still meet its latency target."""
 
     ONLINE_LATE = 1
     BATCH = 2
-    """A batch item that can still be done by the time its job is due."""
+    """Batch item that can still be completed by its job's due time."""
 
     BATCH_LATE = 3
 
 
-_LATER = {Rank.ONLINE: Rank.ONLINE_LATE, Rank.BATCH: Rank.BATCH_LATE}
+_LATE_RANK = {Rank.ONLINE: Rank.ONLINE_LATE, Rank.BATCH: Rank.BATCH_LATE}
 
 
 class Place(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """A place in the order; the smaller one goes first.
+    """Position in the queue; the smaller one is dispatched first.
 
     Attributes:
       rank: A ``Rank``, as a number.
-      due_at: By when it must have a slot, in seconds.
+      due_at: Latest time of dispatch, in seconds of this instance's clock.
     """
 
     rank: int
@@ -49,13 +49,14 @@
 
 
 class Waiting(msgspec.Struct, frozen=True, array_like=True):
-    """What waits at an instance, as it is told to others.
+    """Queued work of one instance, as it is reported to the others.
 
     Attributes:
       rank: A ``Rank``, as a number.
-      due_in_s: Seconds from the telling until it must have a slot; clocks differ.
-      service: Whose slots it waits for.
-      count: How many wait with this place.
+      due_in_s: Seconds from the report until the latest time of dispatch; relative,
+        since the instances' clocks differ.
+      service: Service whose slots are needed.
+      count: Number of requests or items at this position.
     """
 
     rank: int
@@ -64,43 +65,43 @@
     count: int = 1
 
 
-def place(rank: Rank, due_at: float, *, now: float) -> Place:
-    """Returns a place; what can no longer be in time comes behind what can."""
+def position_at(rank: Rank, due_at: float, *, now: float) -> Place:
+    """Returns a position, in the late rank if the due time has passed."""
     if due_at < now:
-        rank = _LATER.get(rank, rank)
+        rank = _LATE_RANK.get(rank, rank)
     return Place(rank, due_at)
 
 
-OVERDUE_S = 0.06
-"""A slot that is open for so long is taken out of turn: those before may have left, or
-cannot see it. Telling takes some 3 ms and taking the slot as long, so that a slot that
-is going to be used is taken well before."""
+YIELD_S = 0.06
+"""Time for which an open slot is left to peers, in seconds. It covers their report and
+their dispatch; after it they have left the queue or do not see the slot."""
 
 
 class Patience:
-    """How long open slots are left to others; clock and randomness are passed in."""
+    """Limits how long open slots are left to peers; the clock is passed in."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self._until: float | None = None
 
     def overdue(self, now: float) -> bool:
-        """Notes that an open slot is left to others; returns whether for too long.
+        """Starts the timer if it is not running; returns whether it has run out.
 
-        Instances that lose patience at the same moment would take the same slot, so
-        that chance divides them.
+        Jitter keeps instances from taking the same slot at the same time.
         """
         if self._until is None:
-            self._until = now + OVERDUE_S * (1 + self._rng.random())
+            self._until = now + YIELD_S * (1 + self._rng.random())
         return now >= self._until
 
     def reset(self) -> None:
-        """Notes that no open slot is left to others."""
+        """Stops the timer: no open slot is left to other instances."""
         self._until = None
 
 
 @attrs.frozen
-class _Told:
+class _PeerEntry:
+    """One ``Waiting`` report, with its due time by this instance's clock."""
+
     rank: Rank
     due_at: float
     service: str
@@ -108,70 +109,78 @@
 
 
 @attrs.frozen
-class Line:
-    """What waits elsewhere for a service, sorted; asked for many places at a time.
+class Backlog:
+    """Work that is queued elsewhere for one service, sorted.
 
     Attributes:
-      places: In order.
-      counts: How many wait up to each place.
+      positions: Positions in queue order.
+      counts: Cumulative number of requests and items up to each position.
     """
 
-    places: list[Place]
+    positions: list[Place]
     counts: list[int]
 
     def ahead(self, own: Place) -> int:
-        """Returns how many wait before a place."""
-        before = bisect.bisect_left(self.places, own)
+        """Returns how many requests and items are queued ahead of a position."""
+        before = bisect.bisect_left(self.positions, own)
         return self.counts[before - 1] if before else 0
 
 
 class FleetOrder:
-    """What waits at other instances; the clock is passed in."""
+    """Work that is queued at other instances; the clock is passed in."""
 
     def __init__(self) -> None:
-        self._told: dict[InstanceId, list[_Told]] = {}
+        self._entries: dict[InstanceId, list[_PeerEntry]] = {}
 
     def observe(
-        self, teller: InstanceId, waiting: Iterable[Waiting], *, now: float
+        self, reporter: InstanceId, waiting: Iterable[Waiting], *, now: float
     ) -> None:
-        """Takes all that waits at an instance; replaces what it told before."""
-        told = [
-            _Told(Rank(one.rank), now + one.due_in_s, one.service, one.count)
+        """Replaces what is known of an instance's queue by a new report.
+
+        Args:
+          reporter: The instance that reports.
+          waiting: All that is queued there.
+          now: Seconds on this instance's clock.
+        """
+        entries = [
+            _PeerEntry(Rank(one.rank), now + one.due_in_s, one.service, one.count)
             for one in waiting
         ]
-        if told:
-            self._told[teller] = told
+        if entries:
+            self._entries[reporter] = entries
         else:
-            self._told.pop(teller, None)
+            self._entries.pop(reporter, None)
 
-    def forget(self, teller: InstanceId) -> bool:
-        """Drops what an instance has told; returns whether there was something."""
-        return self._told.pop(teller, None) is not None
+    def forget(self, reporter: InstanceId) -> bool:
+        """Drops an instance's queue; returns whether anything was known of it."""
+        return self._entries.pop(reporter, None) is not None
 
     def tellers(self) -> list[InstanceId]:
-        """Returns the instances at which something waits."""
-        return list(self._told)
+        """Returns the instances that have queued work."""
+        return list(self._entries)
 
     def __bool__(self) -> bool:
-        return bool(self._told)
-
-    def line(self, service: str, *, now: float) -> Line:
-        """Returns what waits elsewhere for a service, in its order at this moment."""
-        waiting = sorted(
-            (place(one.rank, one.due_at, now=now), one.count)
-            for told in self._told.values()
-            for one in told
+        return bool(self._entries)
+
+    def backlog(self, service: str, *, now: float) -> Backlog:
+        """Returns what is queued elsewhere for a service, in the order of now."""
+        ordered = sorted(
+            (position_at(one.rank, one.due_at, now=now), one.count)
+            for entries in self._entries.values()
+            for one in entries
             if one.service == service
         )
-        places = [own for own, _ in waiting]
-        return Line(places, list(itertools.accumulate(count for _, count in waiting)))
+        positions = [position for position, _ in ordered]
+        return Backlog(
+            positions, list(itertools.accumulate(count for _, count in ordered))
+        )
 
     def ahead(self, own: Place, *, service: str, now: float) -> int:
-        """Returns how many wait elsewhere before a place.
+        """Returns how much work elsewhere is queued ahead of a position.
 
         Args:
-          own: The place of one's own.
-          service: Whose slots are asked for.
+          own: Position of the own request or item.
+          service: Service whose slots are needed.
           now: Seconds on this instance's clock.
         """
-        return self.line(service, now=now).ahead(own)
+        return self.backlog(service, now=now).ahead(own)
--- a/tests/features/steps/online_load_steps.py
+++ b/tests/features/steps/online_load_steps.py
@@ -154,7 +154,7 @@
                 if queue is teller:
                     continue
                 queue.placement.peers.observe(name, counts)
-                queue.order.observe(name, teller.told(now=now), now=now)
+                queue.order.observe(name, teller.summary(now=now), now=now)
                 queue.demand.observe(name, teller.demand.own_rates(now=now))
 
 
@@ -186,7 +186,7 @@
         teller, now = self._queue(sender), self.links.now
         counts = [InFlight(s.id, s.online, 0) for s in teller.placement.states.values()]
         rates = teller.demand.own_rates(now=now)
-        self.links.send(sender, receiver, (counts, teller.told(now=now), rates))
+        self.links.send(sender, receiver, (counts, teller.summary(now=now), rates))
 
     def _hear(self, sender, receiver, message):
         counts, waiting, rates = message
@@ -437,7 +437,7 @@
     ]
     for waiter in waiters:
         queue.enter(waiter, now=0.0)
-    told = queue.told(now=0.0)
+    told = queue.summary(now=0.0)
     assert sorted(one.service for one in told) == ["calc", "calc", "menus"], told
     for state in placement.states.values():
         state.online -= state.upstream.service == "menus"
