--- a/src/coppercleat/gateway/_gateway.py
+++ b/src/coppercleat/gateway/_gateway.py
@@ -33,6 +33,7 @@
     OnlineRequest,
     Peers,
     Placement,
+    QueuedWork,
     Refusal,
     RefusalReason,
     Reply,
@@ -42,10 +43,9 @@
     Survey,
     UpstreamCaller,
     UpstreamState,
-    Waiting,
     Watch,
-    jobs_pause_s,
-    life_question,
+    incarnation_probe,
+    jobs_poll_interval_s,
 )
 from coppercleat.storage import Platform
 
@@ -114,11 +114,11 @@
         self.admission = Admission(
             AdmissionQueue(self.placement, rng=self.rng),
             on_change=self._work_changed,
-            on_waiting=lambda: self.peers.work_changed(urgent=True),
+            on_queue_change=lambda: self.peers.work_changed(urgent=True),
         )
         self.survey = Survey(self.placement, caller, rng=self.rng)
         self.silent_runs = SilentRuns()
-        self.end_watch = EndWatch(life_question(caller))
+        self.end_watch = EndWatch(incarnation_probe(caller))
         self.end_keeper = EndKeeper(
             self.end_watch.ledger, clock=time.time, keeps=self._keeps
         )
@@ -147,11 +147,11 @@
             owner=self.watch.owner_name,
             clock=time.time,
             routes=lambda: self.watch.table,
-            owner_lives=self.watch.owner_lives,
+            is_owner_alive=self.watch.is_owner_alive,
             living=self.watch.living,
             holds_lease=self.watch.holds_lease,
             isolated=self._isolated,
-            pause_s=lambda: jobs_pause_s(self.settings, self.watch.instances),
+            pause_s=lambda: jobs_poll_interval_s(self.settings, self.watch.instances),
             on_taken=self.peers.job_taken,
             on_commit=metrics.committed,
         )
@@ -192,8 +192,8 @@
         self.peers.ends = self._ends
         self.peers.on_ends = self._hear_of_ends
         self.end_watch.on_news = self.peers.ends_found
-        self.end_watch.on_ended = self.placement.note_end
-        self.end_watch.on_withdrawn = self.placement.take_back_end
+        self.end_watch.on_ended = self.placement.record_crash
+        self.end_watch.on_withdrawn = self.placement.retract_crash
         self.end_watch.may_try = self._tries
         self.end_watch.on_barred = self.metrics.request_barred
         self.survey.on_change = self._unknown_changed
@@ -242,13 +242,13 @@
     def _waits(self) -> bool:
         return len(self.admission.queue) > 0 or self.worker.waits()
 
-    def _waiting(self) -> tuple[Waiting, ...]:
+    def _waiting(self) -> tuple[QueuedWork, ...]:
         now = trio.current_time()
         return (*self.admission.queue.summary(now=now), *self.worker.waiting())
 
     def _isolated(self) -> bool:
         """Whether neither the store nor any other instance can be heard."""
-        if self.watch.holds_lease() or not self.watch.others_known:
+        if self.watch.holds_lease() or not self.watch.has_live_peers:
             return False
         return not self.peers.others()
 
@@ -311,7 +311,7 @@
         quarantined = self.end_watch.ledger.quarantined(now=trio.current_time())
         metrics.quarantined.set({}, len(quarantined))
         states = self.placement.states.values()
-        metrics.unknown_runs.set({}, sum(state.unknown for state in states))
+        metrics.unknown_runs.set({}, sum(state.untracked for state in states))
         barred_items_s = self.worker.barred_items_s()
         metrics.barred_items.set({}, len(barred_items_s))
         metrics.barred_item_seconds.set({}, max(barred_items_s, default=0.0))
--- a/src/coppercleat/gateway/_run.py
+++ b/src/coppercleat/gateway/_run.py
@@ -113,7 +113,7 @@
     began = trio.current_time()
     gateway.stopping = True
     ends_at = began + gateway.settings.grace_s - GRACE_MARGIN_S
-    gateway.admission.queue.closes_at = ends_at
+    gateway.admission.queue.shutdown_at = ends_at
     with trio.move_on_after(UNREADY_S):
         await gateway.worker.hand_over()
         await gateway.watch.leave()
--- a/src/coppercleat/jobs/_item_bar.py
+++ b/src/coppercleat/jobs/_item_bar.py
@@ -50,7 +50,7 @@
           None if it may go to all upstreams, and waits for a slot like any other.
         """
         now, service = trio.current_time(), route.targets[0].service
-        avoid = self.placement.to_avoid(verdict, service, now=now)
+        avoid = self.placement.upstreams_to_avoid(verdict, service, now=now)
         if not avoid and verdict.standing is not Standing.TRIAL:
             return None
         wait_s = _SLOT_RETRY_S
--- a/src/coppercleat/jobs/_items.py
+++ b/src/coppercleat/jobs/_items.py
@@ -17,11 +17,10 @@
 from coppercleat.serving import (
     EventSequence,
     EventSplitter,
-    Nowhere,
+    NoUpstreamAvailable,
     OnlineRequest,
-    Patience,
-    Place,
     Placement,
+    QueuePosition,
     Rank,
     Route,
     RunKind,
@@ -30,9 +29,10 @@
     UpstreamBrokeError,
     UpstreamCaller,
     UpstreamState,
+    YieldTimer,
     head_of,
+    incarnation_probe,
     is_event_stream,
-    life_question,
     looks_for_silence,
     why_incomplete,
 )
@@ -118,14 +118,14 @@
         self.caller = caller
         self.instance = instance
         self.silent_runs = silent_runs or SilentRuns()
-        self.end_watch = end_watch or EndWatch(life_question(caller))
+        self.end_watch = end_watch or EndWatch(incarnation_probe(caller))
         self.bar = ItemBar(self.end_watch, placement)
         self.on_change = on_change
         self.on_end = on_end
         self._running: list[Running] = []
         self._avoided: dict[UpstreamId, float] = {}
         self._pace = ItemPace()
-        self._patience = Patience(placement.rng)
+        self._patience = YieldTimer(placement.rng)
 
     def find_slot(
         self,
@@ -154,14 +154,14 @@
         avoid = {u for u, until in self._avoided.items() if now < until}
         if item.failures:
             avoid.update(self._suspects(route, now))
-        own = Place(Rank.BATCH_LATE if late else Rank.BATCH, now + due_in_s)
+        own = QueuePosition(Rank.BATCH_LATE if late else Rank.BATCH, now + due_in_s)
         service = route.targets[0].service
-        shun = self.placement.to_avoid(verdict, service, now=now)
+        ineligible = self.placement.upstreams_to_avoid(verdict, service, now=now)
         suspects = {r.state.id for r in self._running if r.suspect}
         if verdict.standing is Standing.TRIAL:
             # An end would count against both, and keep a proper one for longer.
-            shun |= suspects
-        ahead = self.placement.order.ahead(own, service=service, now=now)
+            ineligible |= suspects
+        ahead = self.placement.peer_queues.ahead(own, service=service, now=now)
         while True:
             state = self.placement.choose_batch(
                 route,
@@ -169,13 +169,13 @@
                 avoid=avoid,
                 now=now,
                 ahead=ahead,
-                shun=shun,
-                apart=suspects if verdict.ends else (),
+                ineligible=ineligible,
+                last_resort=suspects if verdict.ends else (),
             )
-            if not isinstance(state, Nowhere):
+            if not isinstance(state, NoUpstreamAvailable):
                 self._patience.reset()
                 return state
-            if not state.waits or not self._patience.overdue(now):
+            if not state.waits or not self._patience.expired(now):
                 return None
             ahead = 0
 
@@ -366,7 +366,7 @@
         excess = self.placement.load(state) - (state.upstream.slots - RESERVED_SLOTS)
         if excess <= 0:
             return
-        if not self.placement.cuts_next(state, self.instance):
+        if not self.placement.should_preempt(state, self.instance):
             return
         here = [
             running
--- a/src/coppercleat/jobs/_starter.py
+++ b/src/coppercleat/jobs/_starter.py
@@ -11,7 +11,7 @@
 from coppercleat.jobs._run import ItemRun, JobRun
 from coppercleat.jobs._schedule import Turn, next_turns
 from coppercleat.observability import part_logger
-from coppercleat.serving import Rank, Route, RouteTable, Waiting
+from coppercleat.serving import QueuedWork, Rank, Route, RouteTable
 
 JOBS_STALE_S = 2.0
 """With a view of the jobs older than this no item is started: the job may have ended
@@ -70,7 +70,7 @@
         self.may_start = may_start
         self.isolated = isolated
         self._wake = trio.Event()
-        self._gathered: tuple[Waiting, ...] = ()
+        self._gathered: tuple[QueuedWork, ...] = ()
         self._gathered_at = float("-inf")
 
     def late_items(self) -> int:
@@ -83,7 +83,7 @@
     def _late(self, items: list[ItemRun], due_in_s: float) -> int:
         return sum(self.items.seconds_left(item) > due_in_s for item in items)
 
-    def waiting(self) -> tuple[Waiting, ...]:
+    def waiting(self) -> tuple[QueuedWork, ...]:
         """Returns what waits here for a slot, as of a moment ago, to tell to others."""
         now = trio.current_time()
         if now - self._gathered_at >= _GATHER_EVERY_S:
@@ -91,7 +91,7 @@
             self._gathered = self._gather()
         return self._gathered
 
-    def _gather(self) -> tuple[Waiting, ...]:
+    def _gather(self) -> tuple[QueuedWork, ...]:
         wall, now = self.clock(), trio.current_time()
         found = []
         table = self.routes()
@@ -107,9 +107,9 @@
             late = self._late(startable, due_in_s)
             if len(startable) > late:
                 on_time = len(startable) - late
-                found.append(Waiting(Rank.BATCH, due_in_s, service, on_time))
+                found.append(QueuedWork(Rank.BATCH, due_in_s, service, on_time))
             if late:
-                found.append(Waiting(Rank.BATCH_LATE, due_in_s, service, late))
+                found.append(QueuedWork(Rank.BATCH_LATE, due_in_s, service, late))
         return tuple(found[:MAX_TOLD_JOBS])
 
     def _forecast(self, run: JobRun, late: int, due_in_s: float) -> None:
--- a/src/coppercleat/jobs/_worker.py
+++ b/src/coppercleat/jobs/_worker.py
@@ -23,7 +23,7 @@
 from coppercleat.jobs._still_jobs import StillJobs
 from coppercleat.observability import part_logger
 from coppercleat.routing import ranked
-from coppercleat.serving import ItemEvents, RouteTable, Waiting
+from coppercleat.serving import ItemEvents, QueuedWork, RouteTable
 
 KEEP_EVERY_S = 1.5
 """How often the events of running items are kept on the platform: a killed instance
@@ -66,7 +66,7 @@
         owner: str,
         clock: Callable[[], float],
         routes: Callable[[], RouteTable | None],
-        owner_lives: Callable[..., bool],
+        is_owner_alive: Callable[..., bool],
         living: Callable[[], list[str]],
         holds_lease: Callable[[], bool],
         isolated: Callable[[], bool],
@@ -83,7 +83,7 @@
           owner: Names this start of this instance.
           clock: Unix time in seconds.
           routes: Returns the routes in force.
-          owner_lives: Tells whether the owner of a job is alive, given since when
+          is_owner_alive: Tells whether the owner of a job is alive, given since when
             its name has been known here.
           living: Names all living instances.
           holds_lease: Tells whether others still take this instance as alive.
@@ -98,7 +98,7 @@
         self.items = items
         self.owner = owner
         self.clock = clock
-        self.owner_lives = owner_lives
+        self.is_owner_alive = is_owner_alive
         self.living = living
         self.holds_lease = holds_lease
         self.pause_s = pause_s
@@ -148,7 +148,7 @@
             if item.barred is not None
         ]
 
-    def waiting(self) -> tuple[Waiting, ...]:
+    def waiting(self) -> tuple[QueuedWork, ...]:
         """Returns what waits here for a slot, to be told to others."""
         return self._starter.waiting() if self._may_start() else ()
 
@@ -226,7 +226,7 @@
 
     def _owner_lives(self, owner: str, now: float) -> bool:
         since = self._met.setdefault(owner, now)
-        return owner != NOBODY and self.owner_lives(owner, since=since)
+        return owner != NOBODY and self.is_owner_alive(owner, since=since)
 
     async def _take_orphan(self, held: Held) -> None:
         try:
--- a/src/coppercleat/serving/__init__.py
+++ b/src/coppercleat/serving/__init__.py
@@ -4,22 +4,15 @@
 from coppercleat.serving._admission_queue import (
     RETRY_AFTER_S,
     AdmissionQueue,
-    TooLate,
-    Waiter,
+    Overloaded,
+    QueuedRequest,
 )
 from coppercleat.serving._answer_use import EVENT_STREAM, head_of, is_event_stream
 from coppercleat.serving._answers import why_incomplete
-from coppercleat.serving._demand import AnswerTimes, Demand
+from coppercleat.serving._demand import Demand, ResponseTimes
 from coppercleat.serving._events import EventSplitter, StreamEvent
-from coppercleat.serving._fleet_order import (
-    FleetOrder,
-    Patience,
-    Place,
-    Rank,
-    Waiting,
-)
 from coppercleat.serving._forwarding import Forwarder, RequestEnd
-from coppercleat.serving._life_question import life_question
+from coppercleat.serving._incarnation_probe import incarnation_probe
 from coppercleat.serving._model import (
     ClientLimits,
     Header,
@@ -34,16 +27,22 @@
     Target,
     Upstream,
 )
-from coppercleat.serving._node import GatewaySettings, StoreRates
-from coppercleat.serving._pauses import (
-    jobs_pause_s,
-    lease_s,
-    renewal_pause_s,
-    routes_pause_s,
-    upstreams_pause_s,
+from coppercleat.serving._peer_queues import (
+    PeerQueues,
+    QueuedWork,
+    QueuePosition,
+    Rank,
+    YieldTimer,
 )
 from coppercleat.serving._peers import ItemEvents, Peers, WorkInFlight, ZoneWork
-from coppercleat.serving._placement import Nowhere, Placement
+from coppercleat.serving._placement import NoUpstreamAvailable, Placement
+from coppercleat.serving._poll_intervals import (
+    jobs_poll_interval_s,
+    lease_s,
+    renewal_interval_s,
+    routes_poll_interval_s,
+    upstreams_poll_interval_s,
+)
 from coppercleat.serving._progress import (
     AttemptEnd,
     NextStep,
@@ -52,11 +51,12 @@
 )
 from coppercleat.serving._results import RecentResults
 from coppercleat.serving._sequence import EventSequence
+from coppercleat.serving._settings import GatewaySettings, StoreRates
 from coppercleat.serving._silence import looks_for_silence
 from coppercleat.serving._silent_moments import SilentMoments
 from coppercleat.serving._silent_runs import RunKind, SilentRuns
 from coppercleat.serving._survey import Survey
-from coppercleat.serving._unknown_runs import believed_runs
+from coppercleat.serving._untracked_requests import estimate_untracked
 from coppercleat.serving._upstream_call import (
     NothingListensError,
     UpstreamAnswer,
@@ -73,14 +73,14 @@
     "RETRY_AFTER_S",
     "Admission",
     "AdmissionQueue",
-    "AnswerTimes",
+    "ResponseTimes",
     "AttemptEnd",
     "Catalogue",
     "ClientLimits",
     "Demand",
     "EventSequence",
     "EventSplitter",
-    "FleetOrder",
+    "PeerQueues",
     "Forwarder",
     "GatewaySettings",
     "Header",
@@ -88,12 +88,12 @@
     "ItemEvents",
     "NextStep",
     "NothingListensError",
-    "Nowhere",
+    "NoUpstreamAvailable",
     "OnlineRequest",
     "Passed",
-    "Patience",
+    "YieldTimer",
     "Peers",
-    "Place",
+    "QueuePosition",
     "Placement",
     "Rank",
     "RecentResults",
@@ -113,7 +113,7 @@
     "StreamEvent",
     "Survey",
     "Target",
-    "TooLate",
+    "Overloaded",
     "Upstream",
     "UpstreamAnswer",
     "UpstreamBrokeError",
@@ -121,21 +121,21 @@
     "UpstreamList",
     "UpstreamReport",
     "UpstreamState",
-    "Waiter",
-    "Waiting",
+    "QueuedRequest",
+    "QueuedWork",
     "Watch",
     "WorkCounts",
     "WorkInFlight",
     "ZoneWork",
     "head_of",
     "is_event_stream",
-    "believed_runs",
-    "jobs_pause_s",
+    "estimate_untracked",
+    "jobs_poll_interval_s",
     "lease_s",
-    "life_question",
+    "incarnation_probe",
     "looks_for_silence",
-    "renewal_pause_s",
-    "routes_pause_s",
-    "upstreams_pause_s",
+    "renewal_interval_s",
+    "routes_poll_interval_s",
+    "upstreams_poll_interval_s",
     "why_incomplete",
 ]
--- a/src/coppercleat/serving/_admission.py
+++ b/src/coppercleat/serving/_admission.py
@@ -7,8 +7,12 @@
 
 import trio
 
-from coppercleat.serving._admission_queue import AdmissionQueue, TooLate, Waiter
-from coppercleat.serving._placement import Nowhere
+from coppercleat.serving._admission_queue import (
+    AdmissionQueue,
+    Overloaded,
+    QueuedRequest,
+)
+from coppercleat.serving._placement import NoUpstreamAvailable
 from coppercleat.serving._upstream_state import UpstreamState
 
 _LOOK_EVERY_S = 0.01
@@ -27,7 +31,7 @@
     Attributes:
       queue: Decides.
       on_change: Told of an upstream whose load has changed, and whether it has grown.
-      on_waiting: Told that requests have begun or ceased to wait.
+      on_queue_change: Told that requests have begun or ceased to wait.
     """
 
     def __init__(
@@ -35,12 +39,12 @@
         queue: AdmissionQueue,
         *,
         on_change: Callable[[UpstreamState, bool], None],
-        on_waiting: Callable[[], None],
+        on_queue_change: Callable[[], None],
     ) -> None:
         self.queue = queue
         self.on_change = on_change
-        self.on_waiting = on_waiting
-        self._settled: dict[Waiter, trio.Event] = {}
+        self.on_queue_change = on_queue_change
+        self._settled: dict[QueuedRequest, trio.Event] = {}
         self._entered = trio.Event()
         self._looked_at = float("-inf")
 
@@ -61,12 +65,12 @@
 
     def _look(self, now: float) -> None:
         self._looked_at = now
-        self.queue.settle(now=now, on_settled=self._settle)
+        self.queue.dispatch(now=now, on_decided=self._settle)
 
     @contextlib.asynccontextmanager
     async def slot(
-        self, waiter: Waiter
-    ) -> AsyncIterator[UpstreamState | Nowhere | TooLate]:
+        self, waiter: QueuedRequest
+    ) -> AsyncIterator[UpstreamState | NoUpstreamAvailable | Overloaded]:
         """Waits for a slot and holds it until the context is left.
 
         Args:
@@ -81,14 +85,14 @@
             self._look(trio.current_time())
             if waiter.outcome is None:
                 self._entered.set()
-                self.on_waiting()
+                self.on_queue_change()
                 await settled.wait()
             assert waiter.outcome is not None
             yield waiter.outcome
         finally:
             self._leave(waiter)
 
-    def _settle(self, waiter: Waiter) -> None:
+    def _settle(self, waiter: QueuedRequest) -> None:
         if isinstance(waiter.outcome, UpstreamState):
             state = waiter.outcome
             state.online += 1
@@ -96,7 +100,7 @@
             self.on_change(state, True)
         self._settled[waiter].set()
 
-    def _leave(self, waiter: Waiter) -> None:
+    def _leave(self, waiter: QueuedRequest) -> None:
         del self._settled[waiter]
         self.queue.leave(waiter)
         if isinstance(waiter.outcome, UpstreamState):
@@ -106,4 +110,4 @@
             self.on_change(state, False)
             self.look()
         elif waiter.outcome is None:
-            self.on_waiting()
+            self.on_queue_change()
--- a/src/coppercleat/serving/_admission_queue.py
+++ b/src/coppercleat/serving/_admission_queue.py
@@ -16,8 +16,8 @@
 
 from coppercleat.ids import UpstreamId
 from coppercleat.quarantine import FREE, Verdict
-from coppercleat.serving._fleet_order import Patience, Place, Rank, Waiting
-from coppercleat.serving._placement import Nowhere, Placement
+from coppercleat.serving._peer_queues import QueuedWork, QueuePosition, Rank, YieldTimer
+from coppercleat.serving._placement import NoUpstreamAvailable, Placement
 from coppercleat.serving._upstream_state import UpstreamState
 
 MAX_QUEUE_LENGTH = 512
@@ -39,7 +39,7 @@
 
 
 @attrs.frozen
-class TooLate:
+class Overloaded:
     """Sentinel: the request is shed, since no slot is released before its deadline.
 
     Attributes:
@@ -52,7 +52,7 @@
 
 
 @attrs.define(eq=False, kw_only=True)
-class Waiter:
+class QueuedRequest:
     """An online request in the admission queue.
 
     All times are in seconds of this instance's clock.
@@ -76,13 +76,13 @@
     begun: bool = False
     avoid: Collection[UpstreamId] = ()
     verdict: Verdict = FREE
-    outcome: UpstreamState | Nowhere | TooLate | None = None
+    outcome: UpstreamState | NoUpstreamAvailable | Overloaded | None = None
 
-    def position(self, now: float) -> Place:
+    def position(self, now: float) -> QueuePosition:
         """Returns its position in the queue of the whole fleet."""
         if now <= self.on_time_by:
-            return Place(Rank.ONLINE, self.on_time_by)
-        return Place(Rank.ONLINE_LATE, self.serve_by)
+            return QueuePosition(Rank.ONLINE, self.on_time_by)
+        return QueuePosition(Rank.ONLINE_LATE, self.serve_by)
 
     def local_position(self, now: float) -> tuple[int, int, float]:
         """Returns its sort key among the requests queued at this instance."""
@@ -95,9 +95,9 @@
 
     Attributes:
       placement: Upstreams and the work in flight there.
-      order: Requests and items that are queued at other instances.
+      peer_queues: Requests and items that are queued at other instances.
       demand: Arrival rates and service times.
-      closes_at: When this instance cuts what is in flight, in seconds of its clock;
+      shutdown_at: When this instance cuts what is in flight, in seconds of its clock;
         infinity until it shuts down.
     """
 
@@ -108,39 +108,41 @@
         rng: random.Random,
     ) -> None:
         self.placement = placement
-        self.order = placement.order
+        self.peer_queues = placement.peer_queues
         self.demand = placement.demand
         self._rng = rng
-        self.closes_at = float("inf")
-        self._yield_timer = Patience(rng)
+        self.shutdown_at = float("inf")
+        self._yield_timer = YieldTimer(rng)
         self._next_retry_at: dict[str, float] = {}
-        self._queue: list[Waiter] = []
+        self._queue: list[QueuedRequest] = []
 
     def __len__(self) -> int:
         return len(self._queue)
 
-    def enter(self, request: Waiter, *, now: float) -> None:
+    def enter(self, request: QueuedRequest, *, now: float) -> None:
         """Queues a request, or sheds it if it cannot be served in time."""
         request.outcome = self._shed_if_too_late(request, now)
         if request.outcome is None:
             self._queue.append(request)
 
-    def leave(self, request: Waiter) -> None:
+    def leave(self, request: QueuedRequest) -> None:
         """Removes a request whose client has disconnected."""
         if request in self._queue:
             self._queue.remove(request)
 
-    def settle(self, *, now: float, on_settled: Callable[[Waiter], None]) -> None:
+    def dispatch(
+        self, *, now: float, on_decided: Callable[[QueuedRequest], None]
+    ) -> None:
         """Gives free slots to the next requests and sheds those that cannot be served.
 
         Args:
           now: Seconds on this instance's clock.
-          on_settled: Called with each request that has an outcome; counts its slot.
+          on_decided: Called with each request that has an outcome; counts its slot.
         """
-        still_queued: list[Waiter] = []
+        still_queued: list[QueuedRequest] = []
         ahead_here: collections.Counter[str] = collections.Counter()
         backlogs = {
-            service: self.order.backlog(service, now=now)
+            service: self.peer_queues.backlog(service, now=now)
             for service in {request.service for request in self._queue}
         }
         open_slots: dict[tuple[str, frozenset[UpstreamId]], int] = {}
@@ -160,7 +162,7 @@
                 now,
             )
             if request.outcome is not None:
-                on_settled(request)
+                on_decided(request)
                 open_slots.clear()
                 continue
             left_open = left_open or open_slots[candidates] > ahead_here[service]
@@ -170,13 +172,13 @@
         if not left_open:
             self._yield_timer.reset()
 
-    def summary(self, *, now: float) -> tuple[Waiting, ...]:
+    def summary(self, *, now: float) -> tuple[QueuedWork, ...]:
         """Returns what is queued here, as it is reported to peers."""
         ordered = sorted(self._queue, key=lambda request: request.position(now))
         entries = [
             _queued_work(request, 1, now) for request in ordered[:MAX_SUMMARY_ENTRIES]
         ]
-        rest: dict[str, list[Waiter]] = {}
+        rest: dict[str, list[QueuedRequest]] = {}
         for request in ordered[MAX_SUMMARY_ENTRIES:]:
             rest.setdefault(request.service, []).append(request)
         entries += [
@@ -188,12 +190,12 @@
 
     def _decide(
         self,
-        request: Waiter,
+        request: QueuedRequest,
         slots: int,
         ahead_here: int,
         ahead_elsewhere: int,
         now: float,
-    ) -> UpstreamState | Nowhere | TooLate | None:
+    ) -> UpstreamState | NoUpstreamAvailable | Overloaded | None:
         """Returns the outcome of a request, None if it stays queued.
 
         Args:
@@ -206,25 +208,29 @@
         ahead = ahead_here + ahead_elsewhere
         if ahead < slots:
             return self._take_slot(request, ahead, now)
-        if ahead_here < slots and self._yield_timer.overdue(now):
+        if ahead_here < slots and self._yield_timer.expired(now):
             self._yield_timer.reset()
             return self._take_slot(request, self._rng.randrange(slots), now)
         if not self.placement.serves(
             request.service, avoid=self._excluded(request, now)
         ):
-            return Nowhere(f"no upstream serves {request.service}")
+            return NoUpstreamAvailable(f"no upstream serves {request.service}")
         if now > self._dispatch_deadline(request):
-            return TooLate("no slot came free in time", RETRY_AFTER_S)
+            return Overloaded("no slot came free in time", RETRY_AFTER_S)
         if ahead == 0 and now > request.on_time_by:
             return self._queue_at_upstream(request, now)
         return None
 
-    def _queue_at_upstream(self, request: Waiter, now: float) -> UpstreamState | None:
+    def _queue_at_upstream(
+        self, request: QueuedRequest, now: float
+    ) -> UpstreamState | None:
         """Returns an upstream at which a late request may wait, if there is one."""
         chosen = self.placement.choose_online(
             request.service, tried=self._excluded(request, now), now=now
         )
-        if isinstance(chosen, Nowhere) or not self._may_queue_at(chosen, now):
+        if isinstance(chosen, NoUpstreamAvailable) or not self._may_queue_at(
+            chosen, now
+        ):
             return None
         return chosen
 
@@ -233,7 +239,9 @@
         queued = -self.placement.online_slots(state)
         return queued < MAX_QUEUED_PER_UPSTREAM and now >= state.full_until
 
-    def _take_slot(self, request: Waiter, number: int, now: float) -> UpstreamState:
+    def _take_slot(
+        self, request: QueuedRequest, number: int, now: float
+    ) -> UpstreamState:
         """Returns the upstream of the open slot with a number, from 0.
 
         The first in the queue of the fleet gets the best upstream instead.
@@ -249,35 +257,39 @@
         )
 
     def _candidate_key(
-        self, request: Waiter, now: float
+        self, request: QueuedRequest, now: float
     ) -> tuple[str, frozenset[UpstreamId]]:
         """Returns a key that requests share which have the same open slots."""
         return request.service, frozenset(self._excluded(request, now))
 
-    def _excluded(self, request: Waiter, now: float) -> Collection[UpstreamId]:
+    def _excluded(self, request: QueuedRequest, now: float) -> Collection[UpstreamId]:
         """Returns the upstreams that a request must not be sent to now.
 
         Computed anew each time, since upstreams become steady or leave meanwhile.
         """
         if not request.verdict.ends:
             return request.avoid
-        unsteady = self.placement.to_avoid(request.verdict, request.service, now=now)
+        unsteady = self.placement.upstreams_to_avoid(
+            request.verdict, request.service, now=now
+        )
         return unsteady | set(request.avoid)
 
-    def _open_slots(self, request: Waiter, now: float) -> int:
+    def _open_slots(self, request: QueuedRequest, now: float) -> int:
         return self.placement.open_slots(
             request.service, avoid=self._excluded(request, now), now=now
         )
 
     # Load shedding.
 
-    def _shed_if_too_late(self, request: Waiter, now: float) -> TooLate | None:
+    def _shed_if_too_late(
+        self, request: QueuedRequest, now: float
+    ) -> Overloaded | None:
         """Returns a refusal if a new request would not get a slot in time.
 
         The wait is estimated from the rate at which the service releases slots.
         """
         if len(self._queue) >= MAX_QUEUE_LENGTH:
-            return TooLate("too many requests wait here", LONGEST_RETRY_S)
+            return Overloaded("too many requests wait here", LONGEST_RETRY_S)
         total = self.placement.total_slots(request.service, now=now)
         missing = (
             1
@@ -286,11 +298,11 @@
         )
         if missing <= 0 or not total or request.begun:
             return None
-        rate = total / self.demand.of(request.service).service_s
+        rate = total / self.demand.for_service(request.service).service_time_s
         if now + missing / rate <= request.on_time_by:
             return None
         # It will be late, so requests that can be on time are dispatched before it.
-        late = Place(Rank.ONLINE_LATE, request.serve_by)
+        late = QueuePosition(Rank.ONLINE_LATE, request.serve_by)
         last = 1 + self._ahead(late, request.service, now)
         spare = rate - self.demand.fleet_rate(request.service, now=now)
         if spare > 0 and now + last / spare <= self._dispatch_deadline(request):
@@ -299,20 +311,20 @@
         reason = (
             f"no slot comes free in time: {last} wait, {rate:.0f} a second come free"
         )
-        return TooLate(reason, wait_s)
+        return Overloaded(reason, wait_s)
 
-    def _dispatch_deadline(self, request: Waiter) -> float:
+    def _dispatch_deadline(self, request: QueuedRequest) -> float:
         """Returns the latest time of dispatch, also in view of a shutdown."""
-        service_s = self.demand.of(request.service).service_s
-        return min(request.serve_by, self.closes_at - service_s)
+        service_time_s = self.demand.for_service(request.service).service_time_s
+        return min(request.serve_by, self.shutdown_at - service_time_s)
 
-    def _ahead(self, position: Place, service: str, now: float) -> int:
+    def _ahead(self, position: QueuePosition, service: str, now: float) -> int:
         """Returns how many requests of the whole fleet are queued ahead."""
         ahead_here = sum(
             other.service == service and other.position(now) < position
             for other in self._queue
         )
-        return ahead_here + self.order.ahead(position, service=service, now=now)
+        return ahead_here + self.peer_queues.ahead(position, service=service, now=now)
 
     def _retry_after_s(
         self, service: str, rate: float, wait_s: float, now: float
@@ -328,7 +340,7 @@
           wait_s: Seconds until the queued requests ahead have slots.
           now: Seconds on this instance's clock.
         """
-        own = self.demand.of(service).rate(now=now)
+        own = self.demand.for_service(service).rate(now=now)
         share = own / max(own, self.demand.fleet_rate(service, now=now), 1e-9)
         gap_s = 1 / max(rate * share, 1e-9)
         last = self._next_retry_at.get(service, now)
@@ -337,7 +349,7 @@
         return max(RETRY_AFTER_S, self._next_retry_at[service] - now)
 
 
-def _queued_work(request: Waiter, count: int, now: float) -> Waiting:
+def _queued_work(request: QueuedRequest, count: int, now: float) -> QueuedWork:
     """Returns the report on one queued request and others that it stands for."""
     position = request.position(now)
-    return Waiting(position.rank, position.due_at - now, request.service, count)
+    return QueuedWork(position.rank, position.due_at - now, request.service, count)
--- a/src/coppercleat/serving/_demand.py
+++ b/src/coppercleat/serving/_demand.py
@@ -22,24 +22,24 @@
 
 
 @attrs.define
-class AnswerTimes:
+class ResponseTimes:
     """Smoothed times of one route's answers; the first answer replaces the guesses.
 
     Attributes:
-      lead_s: Seconds from sending a request to the first part of its answer.
-      service_s: Seconds for which a request holds a slot.
+      ttfb_s: Seconds from sending a request to the first part of its answer.
+      service_time_s: Seconds for which a request holds a slot.
     """
 
-    lead_s: float = _FIRST_LEAD_S
-    service_s: float = _FIRST_SERVICE_S
+    ttfb_s: float = _FIRST_LEAD_S
+    service_time_s: float = _FIRST_SERVICE_S
     _answered: bool = False
 
-    def observe(self, *, lead_s: float, service_s: float) -> None:
+    def observe(self, *, ttfb_s: float, service_time_s: float) -> None:
         """Takes a request that was answered in full."""
         weight = _SMOOTHING if self._answered else 1.0
         self._answered = True
-        self.lead_s += weight * (lead_s - self.lead_s)
-        self.service_s += weight * (service_s - self.service_s)
+        self.ttfb_s += weight * (ttfb_s - self.ttfb_s)
+        self.service_time_s += weight * (service_time_s - self.service_time_s)
 
 
 @attrs.define
@@ -47,10 +47,10 @@
     """Smoothed figures of one service at this instance; the clock is passed in.
 
     Attributes:
-      service_s: Seconds for which a request holds a slot, over all routes.
+      service_time_s: Seconds for which a request holds a slot, over all routes.
     """
 
-    service_s: float = _FIRST_SERVICE_S
+    service_time_s: float = _FIRST_SERVICE_S
     _rate: float = 0.0
     _arrived_at: float = 0.0
 
@@ -59,9 +59,9 @@
         self._rate = self.rate(now=now) + 1 / RATE_OVER_S
         self._arrived_at = now
 
-    def answered(self, *, service_s: float) -> None:
+    def answered(self, *, service_time_s: float) -> None:
         """Takes a request that was answered in full."""
-        self.service_s += _SMOOTHING * (service_s - self.service_s)
+        self.service_time_s += _SMOOTHING * (service_time_s - self.service_time_s)
 
     def rate(self, *, now: float) -> float:
         """Returns requests a second that arrive here."""
@@ -74,27 +74,27 @@
 
     def __init__(self) -> None:
         self._own: dict[str, ServiceDemand] = {}
-        self._times: dict[str, AnswerTimes] = {}
+        self._times: dict[str, ResponseTimes] = {}
         self._told: dict[InstanceId | ZoneId, Mapping[str, float]] = {}
 
-    def of(self, service: str) -> ServiceDemand:
+    def for_service(self, service: str) -> ServiceDemand:
         """Returns the figures of a service at this instance."""
         return self._own.setdefault(service, ServiceDemand())
 
-    def times(self, route: str) -> AnswerTimes:
+    def times(self, route: str) -> ResponseTimes:
         """Returns the times of a route's answers at this instance."""
-        return self._times.setdefault(route, AnswerTimes())
+        return self._times.setdefault(route, ResponseTimes())
 
     def own_rates(self, *, now: float) -> dict[str, float]:
         """Returns the rates of arrival here, to be told to others."""
         return {s: round(figures.rate(now=now), 2) for s, figures in self._own.items()}
 
-    def rates_of(
-        self, tellers: Iterable[InstanceId], *, now: float
+    def combined_rates(
+        self, reporters: Iterable[InstanceId], *, now: float
     ) -> dict[str, float]:
         """Returns the rates of arrival here and at some others, together."""
         found = self.own_rates(now=now)
-        for teller in tellers:
+        for teller in reporters:
             for service, rate in self._told.get(teller, {}).items():
                 found[service] = found.get(service, 0.0) + rate
         return found
@@ -102,7 +102,7 @@
     def fleet_rate(self, service: str, *, now: float) -> float:
         """Returns requests a second that arrive here and at all that have told."""
         told = sum(rates.get(service, 0.0) for rates in self._told.values())
-        return told + self.of(service).rate(now=now)
+        return told + self.for_service(service).rate(now=now)
 
     def observe(self, teller: InstanceId | ZoneId, rates: Mapping[str, float]) -> None:
         """Takes the rates that an instance tells, or one for its whole zone."""
--- a/src/coppercleat/serving/_exchange.py
+++ b/src/coppercleat/serving/_exchange.py
@@ -26,7 +26,7 @@
       begun: What the client's answer has begun with; None before.
       load: Runs that the upstream was taken to have as the attempt began, this one
         included.
-      tellers: Other instances whose work in flight was known then.
+      reporters: Other instances whose work in flight was known then.
       silent: Whether the attempt was ended since the upstream was silent.
       disconnected: Whether it was ended since its connection broke.
       waited_s: Seconds for which it waited for slots, at all attempts.
@@ -49,7 +49,7 @@
     status: int = 0
     begun: AnswerHead | None = None
     load: int = 0
-    tellers: int = 0
+    reporters: int = 0
     silent: bool = False
     disconnected: bool = False
     waited_s: float = 0.0
--- a/src/coppercleat/serving/_steadiness.py
+++ b/src/coppercleat/serving/_flap_damping.py
@@ -64,7 +64,7 @@
         state.among_short = bool(self._recent(state))
         state.steady_from = self._steady_from(state)
 
-    def note_end(self, state: UpstreamState, end: End, *, run_began: float) -> None:
+    def record_crash(self, state: UpstreamState, end: End, *, run_began: float) -> None:
         """Notes an end, which several may tell of, and some notice late.
 
         Args:
@@ -75,7 +75,7 @@
         at = end.at
         if run_began <= state.ended_at or at < state.ended_at + SAME_END_S:
             return  # It is known, or older than what is.
-        if state.upstream.is_same_life(end.born_ms) is False:
+        if state.upstream.is_same_incarnation(end.born_ms) is False:
             # Of which the start is no longer known: the next life is listed already.
             return
         # Judged by the lives before: a request may be the cause of this one's end.
@@ -87,7 +87,7 @@
         state.ended_at = state.since = at
         state.steady_from = max(state.steady_from, self._steady_from(state))
 
-    def take_back_end(self, state: UpstreamState) -> None:
+    def retract_crash(self, state: UpstreamState) -> None:
         """Notes that an upstream that seemed to have ended last lives on."""
         if state.since == state.ended_at > float("-inf"):
             state.since, state.steady_from = state.before_end
--- a/src/coppercleat/serving/_forwarding.py
+++ b/src/coppercleat/serving/_forwarding.py
@@ -10,11 +10,11 @@
 from coppercleat.observability import part_logger
 from coppercleat.quarantine import EndWatch, Standing, Verdict, shown
 from coppercleat.serving._admission import Admission
-from coppercleat.serving._admission_queue import TooLate, Waiter
+from coppercleat.serving._admission_queue import Overloaded, QueuedRequest
 from coppercleat.serving._answer_use import Unfit, use_of
 from coppercleat.serving._answers import PASS
 from coppercleat.serving._exchange import Exchange
-from coppercleat.serving._life_question import life_question
+from coppercleat.serving._incarnation_probe import incarnation_probe
 from coppercleat.serving._model import (
     OnlineRequest,
     Refusal,
@@ -23,7 +23,7 @@
     Route,
     RouteKind,
 )
-from coppercleat.serving._placement import FULL_S, Nowhere
+from coppercleat.serving._placement import FULL_S, NoUpstreamAvailable
 from coppercleat.serving._progress import AttemptEnd, NextStep, RequestProgress
 from coppercleat.serving._silence import (
     SilenceWatch,
@@ -104,7 +104,7 @@
         self.on_end = on_end
         self.silence = SilenceWatch(self.placement)
         self.silent_runs = silent_runs or SilentRuns()
-        self.end_watch = end_watch or EndWatch(life_question(caller))
+        self.end_watch = end_watch or EndWatch(incarnation_probe(caller))
 
     async def forward(
         self, request: OnlineRequest, route: Route, reply: Reply
@@ -166,17 +166,17 @@
             )
 
     def _waits_for_steady(
-        self, exchange: Exchange, waiter: Waiter, verdict: Verdict
+        self, exchange: Exchange, waiter: QueuedRequest, verdict: Verdict
     ) -> bool:
         """Returns whether only upstreams are left that have just started."""
         if not verdict.wary:
             return False
         serves, now = self.placement.serves, trio.current_time()
         service, tried = waiter.service, exchange.tried
-        avoid = tried | self.placement.to_avoid(verdict, service, now=now)
+        avoid = tried | self.placement.upstreams_to_avoid(verdict, service, now=now)
         return serves(service, avoid=tried) and not serves(service, avoid=avoid)
 
-    def _until_steady(self, waiter: Waiter, verdict: Verdict) -> Verdict:
+    def _until_steady(self, waiter: QueuedRequest, verdict: Verdict) -> Verdict:
         wait_s = self.placement.steady_in_s(waiter.service, now=trio.current_time())
         return Verdict(Standing.UNSTEADY, max(NOWHERE_RETRY_S, wait_s), verdict.ends)
 
@@ -187,23 +187,23 @@
         self.end_watch.on_barred(verdict.standing.value)
         return exchange.progress.give_up()
 
-    def _waiter(self, exchange: Exchange, verdict: Verdict) -> Waiter:
+    def _waiter(self, exchange: Exchange, verdict: Verdict) -> QueuedRequest:
         """Returns the request as the queue for slots sees it."""
         route = exchange.route
         service = self.placement.draw_service(route.targets)
         if not exchange.progress.tries:
-            self.placement.demand.of(service).arrived(now=exchange.arrived_at)
+            self.placement.demand.for_service(service).arrived(now=exchange.arrived_at)
         times = self.placement.demand.times(route.name)
         # A stream is on time by its first event and then by each pause between them.
         due_at = exchange.arrived_at + route.target_latency_s
         if exchange.progress.started:
             due_at = exchange.heard_at + route.gap_target_s
         streams = route.kind is RouteKind.STREAM
-        return Waiter(
+        return QueuedRequest(
             service=service,
             priority=route.priority,
-            on_time_by=due_at - (times.lead_s if streams else times.service_s),
-            serve_by=exchange.ends_at - times.service_s,
+            on_time_by=due_at - (times.ttfb_s if streams else times.service_time_s),
+            serve_by=exchange.ends_at - times.service_time_s,
             begun=exchange.progress.started,
             avoid=exchange.tried,
             verdict=verdict,
@@ -216,7 +216,7 @@
         exchange.heard_at = exchange.sent_at = trio.current_time()
         exchange.status = 0
         exchange.load = self.placement.load(state)
-        exchange.tellers = len(self.placement.peers.tellers())
+        exchange.reporters = len(self.placement.peers.reporters())
         try:
             end = await self._attempt_until_stall(exchange, state, attempt)
         except trio.Cancelled:
@@ -362,10 +362,12 @@
         """Notes how long a whole answer by one upstream took."""
         if exchange.first_at < exchange.sent_at:
             return  # Its first part came from another upstream.
-        demand, service_s = self.placement.demand, now - exchange.sent_at
-        demand.of(state.upstream.service).answered(service_s=service_s)
+        demand, service_time_s = self.placement.demand, now - exchange.sent_at
+        demand.for_service(state.upstream.service).answered(
+            service_time_s=service_time_s
+        )
         demand.times(exchange.route.name).observe(
-            lead_s=exchange.first_at - exchange.sent_at, service_s=service_s
+            ttfb_s=exchange.first_at - exchange.sent_at, service_time_s=service_time_s
         )
 
     def _explain(self, exchange: Exchange, step: NextStep, *, timed_out: bool) -> None:
@@ -399,7 +401,7 @@
             runs=exchange.progress.runs,
             status=exchange.status,
             load=exchange.load,
-            tellers=exchange.tellers,
+            tellers=exchange.reporters,
             last_event=exchange.progress.last_event,
             timed_out=timed_out,
             reason=exchange.reason,
@@ -411,8 +413,8 @@
         )
 
 
-def _retry_after_s(slot: Nowhere | TooLate) -> float:
-    return slot.retry_after_s if isinstance(slot, TooLate) else NOWHERE_RETRY_S
+def _retry_after_s(slot: NoUpstreamAvailable | Overloaded) -> float:
+    return slot.retry_after_s if isinstance(slot, Overloaded) else NOWHERE_RETRY_S
 
 
 def _ms(seconds: float) -> int:
--- a/src/coppercleat/serving/_life_question.py
+++ b/src/coppercleat/serving/_incarnation_probe.py
@@ -22,7 +22,7 @@
 _log = part_logger("quarantine")
 
 
-def life_question(
+def incarnation_probe(
     caller: UpstreamCaller,
 ) -> Callable[[UpstreamState], Awaitable[Finding]]:
     """Returns the question that ``EndWatch`` puts to upstreams."""
@@ -41,6 +41,6 @@
             born_ms=report.born_ms,
             listed_born_ms=state.upstream.born_ms,
         )
-        return _FINDINGS[state.upstream.is_same_life(report.born_ms)]
+        return _FINDINGS[state.upstream.is_same_incarnation(report.born_ms)]
 
     return ask
--- a/src/coppercleat/serving/_model.py
+++ b/src/coppercleat/serving/_model.py
@@ -68,7 +68,7 @@
     max_waiting_tokens: int = 0
 
     @property
-    def repeatable(self) -> bool:
+    def retryable(self) -> bool:
         """Whether a request that may already have run may be retried."""
         return self.kind is RouteKind.IDEMPOTENT or self.resumes
 
@@ -127,7 +127,7 @@
     cold_s: float = 0.0
     born_ms: int = 0
 
-    def is_same_life(self, born_ms: int) -> bool | None:
+    def is_same_incarnation(self, born_ms: int) -> bool | None:
         """Returns whether the start time is of this incarnation; None if unknown."""
         if 0 in (self.born_ms, born_ms):
             return None
--- a/src/coppercleat/serving/_fleet_order.py
+++ b/src/coppercleat/serving/_peer_queues.py
@@ -36,7 +36,7 @@
 _LATE_RANK = {Rank.ONLINE: Rank.ONLINE_LATE, Rank.BATCH: Rank.BATCH_LATE}
 
 
-class Place(msgspec.Struct, frozen=True, array_like=True, order=True):
+class QueuePosition(msgspec.Struct, frozen=True, array_like=True, order=True):
     """Position in the queue; the smaller one is dispatched first.
 
     Attributes:
@@ -48,7 +48,7 @@
     due_at: float
 
 
-class Waiting(msgspec.Struct, frozen=True, array_like=True):
+class QueuedWork(msgspec.Struct, frozen=True, array_like=True):
     """Queued work of one instance, as it is reported to the others.
 
     Attributes:
@@ -65,11 +65,11 @@
     count: int = 1
 
 
-def position_at(rank: Rank, due_at: float, *, now: float) -> Place:
+def position_at(rank: Rank, due_at: float, *, now: float) -> QueuePosition:
     """Returns a position, in the late rank if the due time has passed."""
     if due_at < now:
         rank = _LATE_RANK.get(rank, rank)
-    return Place(rank, due_at)
+    return QueuePosition(rank, due_at)
 
 
 YIELD_S = 0.06
@@ -77,14 +77,14 @@
 their dispatch; after it they have left the queue or do not see the slot."""
 
 
-class Patience:
+class YieldTimer:
     """Limits how long open slots are left to peers; the clock is passed in."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self._until: float | None = None
 
-    def overdue(self, now: float) -> bool:
+    def expired(self, now: float) -> bool:
         """Starts the timer if it is not running; returns whether it has run out.
 
         Jitter keeps instances from taking the same slot at the same time.
@@ -100,7 +100,7 @@
 
 @attrs.frozen
 class _PeerEntry:
-    """One ``Waiting`` report, with its due time by this instance's clock."""
+    """One ``QueuedWork`` report, with its due time by this instance's clock."""
 
     rank: Rank
     due_at: float
@@ -117,23 +117,23 @@
       counts: Cumulative number of requests and items up to each position.
     """
 
-    positions: list[Place]
+    positions: list[QueuePosition]
     counts: list[int]
 
-    def ahead(self, own: Place) -> int:
+    def ahead(self, own: QueuePosition) -> int:
         """Returns how many requests and items are queued ahead of a position."""
         before = bisect.bisect_left(self.positions, own)
         return self.counts[before - 1] if before else 0
 
 
-class FleetOrder:
+class PeerQueues:
     """Work that is queued at other instances; the clock is passed in."""
 
     def __init__(self) -> None:
         self._entries: dict[InstanceId, list[_PeerEntry]] = {}
 
     def observe(
-        self, reporter: InstanceId, waiting: Iterable[Waiting], *, now: float
+        self, reporter: InstanceId, waiting: Iterable[QueuedWork], *, now: float
     ) -> None:
         """Replaces what is known of an instance's queue by a new report.
 
@@ -155,7 +155,7 @@
         """Drops an instance's queue; returns whether anything was known of it."""
         return self._entries.pop(reporter, None) is not None
 
-    def tellers(self) -> list[InstanceId]:
+    def reporters(self) -> list[InstanceId]:
         """Returns the instances that have queued work."""
         return list(self._entries)
 
@@ -175,7 +175,7 @@
             positions, list(itertools.accumulate(count for _, count in ordered))
         )
 
-    def ahead(self, own: Place, *, service: str, now: float) -> int:
+    def ahead(self, own: QueuePosition, *, service: str, now: float) -> int:
         """Returns how much work elsewhere is queued ahead of a position.
 
         Args:
--- a/src/coppercleat/serving/_peers.py
+++ b/src/coppercleat/serving/_peers.py
@@ -23,10 +23,10 @@
 from coppercleat.observability import part_logger
 from coppercleat.quarantine import EndsSeen, Fingerprint, ToldEnd
 from coppercleat.serving._dropped_messages import DroppedMessages
-from coppercleat.serving._fleet_order import Waiting
 from coppercleat.serving._model import RouteConfig, Upstream
-from coppercleat.serving._node import GatewaySettings
+from coppercleat.serving._peer_queues import QueuedWork
 from coppercleat.serving._placement import AttemptResults, Placement
+from coppercleat.serving._settings import GatewaySettings
 from coppercleat.serving._work_counts import InFlight
 
 HEARTBEAT_S = 0.5
@@ -76,7 +76,7 @@
     """
 
     counts: tuple[InFlight, ...]
-    waiting: tuple[Waiting, ...] = ()
+    waiting: tuple[QueuedWork, ...] = ()
     rates: dict[str, float] = {}
 
 
@@ -207,7 +207,7 @@
         self.on_knowledge: Callable[[Knowledge], None] = lambda knowledge: None
         self.on_counts: Callable[[], None] = lambda: None
         self.waits: Callable[[], bool] = lambda: False
-        self.waiting: Callable[[], tuple[Waiting, ...]] = tuple
+        self.waiting: Callable[[], tuple[QueuedWork, ...]] = tuple
         self.on_peer_dropped: Callable[[Collection[UpstreamId]], None] = (
             lambda upstreams: None
         )
@@ -236,7 +236,7 @@
         self._asked_at = float("-inf")
         self._told_at = float("-inf")
         self._to_teach: dict[InstanceId, int] = {}
-        self._told_last: tuple[tuple[InFlight, ...], tuple[Waiting, ...]] = ((), ())
+        self._told_last: tuple[tuple[InFlight, ...], tuple[QueuedWork, ...]] = ((), ())
         self._met: dict[InstanceId, int] = {}
         self._counts_at: dict[InstanceId, float] = {}
         self._zones_at: dict[ZoneId, float] = {}
@@ -262,10 +262,10 @@
             self._urgent.set()
 
     def _scarce(self) -> bool:
-        return bool(self.placement.order) or self.waits()
+        return bool(self.placement.peer_queues) or self.waits()
 
     def _tells_all(self) -> bool:
-        return len(self.placement.peers.tellers()) <= _TELL_ALL
+        return len(self.placement.peers.reporters()) <= _TELL_ALL
 
     def job_taken(self, job: JobId) -> None:
         """Tells all others that this instance has taken a job over."""
@@ -324,9 +324,11 @@
         """Gives up what was told by those that are dead or have told nothing since."""
         for gone in set(self._met) - set(self.detector.members):
             del self._met[gone]
-        silent = [p for p in self.placement.peers.tellers() if self._is_silent(p, now)]
+        silent = [
+            p for p in self.placement.peers.reporters() if self._is_silent(p, now)
+        ]
         zones = [
-            z for z in self.placement.zones.tellers() if self._zone_is_silent(z, now)
+            z for z in self.placement.zones.reporters() if self._zone_is_silent(z, now)
         ]
         changed = self._forget_waiting(now)
         for peer in silent:
@@ -363,11 +365,11 @@
         """Drops what was told to wait too long ago; returns whether there was any."""
         stale = [
             peer
-            for peer in self.placement.order.tellers()
+            for peer in self.placement.peer_queues.reporters()
             if now - self._counts_at.get(peer, float("-inf")) > WAITING_STALE_S
         ]
         for peer in stale:
-            self.placement.order.forget(peer)
+            self.placement.peer_queues.forget(peer)
         return bool(stale)
 
     def _drop_peer(self, peer: InstanceId) -> None:
@@ -384,7 +386,7 @@
 
     def _forget_peer(self, peer: InstanceId) -> None:
         self.placement.peers.forget(peer)
-        self.placement.order.forget(peer)
+        self.placement.peer_queues.forget(peer)
         self.placement.demand.forget(peer)
         self._counts_at.pop(peer, None)
 
@@ -395,7 +397,7 @@
 
     def _on_reopened(self, silent: Silent) -> None:
         """Tells all to whom a link was silent; what waits there isn't known by now."""
-        if silent.way is Way.EITHER and self.placement.order.forget(silent.peer):
+        if silent.way is Way.EITHER and self.placement.peer_queues.forget(silent.peer):
             self.on_counts()
         self._tell_ends(silent.peer)
         if silent.peer in self._near(self.others()):
@@ -420,7 +422,7 @@
 
     def _tell_results(self) -> None:
         """Tells the own availability zone: from another an upstream may look well."""
-        results = self.placement.untold_results()
+        results = self.placement.take_unreported_results()
         if not results:
             return
         for instance in self.others():
@@ -490,9 +492,9 @@
                 continue
             if self.settings.instance != self._reporter(self.settings.zone):
                 continue
-            rates = self.placement.demand.rates_of(near, now=trio.current_time())
+            rates = self.placement.demand.combined_rates(near, now=trio.current_time())
             zone_work = ZoneWork(
-                self.settings.zone, tuple(self.placement.of_own_zone()), rates
+                self.settings.zone, tuple(self.placement.own_zone_in_flight()), rates
             )
             for instance in set(others) - set(near):
                 self.messenger.send(instance, zone_work, kind=Kind.ROUTINE)
@@ -542,7 +544,7 @@
             self._tell_work(sender)
         self._counts_at[sender] = now
         self.placement.peers.observe(sender, work.counts)
-        self.placement.order.observe(sender, work.waiting, now=now)
+        self.placement.peer_queues.observe(sender, work.waiting, now=now)
         self.placement.demand.observe(sender, work.rates)
         self.on_counts()
 
@@ -553,7 +555,7 @@
         self._zones_at[work.zone] = trio.current_time()
         self.placement.zones.observe(work.zone, work.counts)
         self.placement.demand.observe(work.zone, work.rates)
-        for peer in self.placement.peers.tellers():
+        for peer in self.placement.peers.reporters():
             if self.detector.zone_of(peer) == work.zone:
                 self._forget_peer(peer)
         self.on_counts()
--- a/src/coppercleat/serving/_placement.py
+++ b/src/coppercleat/serving/_placement.py
@@ -10,9 +10,9 @@
 from coppercleat.ids import InstanceId, UpstreamId, ZoneId
 from coppercleat.quarantine import End, Verdict
 from coppercleat.serving._demand import Demand
-from coppercleat.serving._fleet_order import FleetOrder
+from coppercleat.serving._flap_damping import STEADY_S, Steadiness
 from coppercleat.serving._model import Route, Target, Upstream
-from coppercleat.serving._steadiness import STEADY_S, Steadiness
+from coppercleat.serving._peer_queues import PeerQueues
 from coppercleat.serving._upstream_state import UpstreamState
 from coppercleat.serving._work_counts import InFlight, WorkCounts
 
@@ -61,7 +61,7 @@
     failed: int
 
 
-class Nowhere(msgspec.Struct, frozen=True):
+class NoUpstreamAvailable(msgspec.Struct, frozen=True):
     """Sentinel: no upstream can take the request.
 
     Attributes:
@@ -81,7 +81,7 @@
       states: By upstream id.
       peers: Work in flight of instances that are told of one by one.
       zones: Work in flight of whole other availability zones, in a large fleet.
-      order: What waits for a slot at other instances.
+      peer_queues: What waits for a slot at other instances.
       demand: How fast online requests come.
       steadiness: Which upstreams end again and again.
     """
@@ -92,7 +92,7 @@
         self.rng = rng
         self.peers: WorkCounts[InstanceId] = WorkCounts()
         self.zones: WorkCounts[ZoneId] = WorkCounts()
-        self.order = FleetOrder()
+        self.peer_queues = PeerQueues()
         self.demand = Demand()
         self.steadiness = Steadiness()
         self._listed = False
@@ -119,7 +119,10 @@
             self.steadiness.note_gone(left, now)
         for upstream in listed.values():
             state = self.states.get(upstream.id)
-            if state is None or state.upstream.is_same_life(upstream.born_ms) is False:
+            if (
+                state is None
+                or state.upstream.is_same_incarnation(upstream.born_ms) is False
+            ):
                 if state is not None:
                     # What was in flight there ended with it; its failures were its own.
                     state.gone = state.restarted = True
@@ -131,7 +134,7 @@
                 state.listed(upstream)
         return gone
 
-    def note_end(self, end: End, run_began: float) -> None:
+    def record_crash(self, end: End, run_began: float) -> None:
         """Notes that an upstream has ended, as found here or told by others.
 
         Args:
@@ -140,13 +143,13 @@
         """
         state = self.states.get(end.upstream)
         if state is not None:
-            self.steadiness.note_end(state, end, run_began=run_began)
+            self.steadiness.record_crash(state, end, run_began=run_began)
 
-    def take_back_end(self, end: End) -> None:
+    def retract_crash(self, end: End) -> None:
         """Notes that an upstream that seemed to have ended lives on."""
         state = self.states.get(end.upstream)
         if state is not None:
-            self.steadiness.take_back_end(state)
+            self.steadiness.retract_crash(state)
 
     def observe_results(self, results: Iterable[AttemptResults], *, now: float) -> None:
         """Takes how a peer's attempts ended."""
@@ -156,11 +159,11 @@
                 well, failed = of_upstream.well, of_upstream.failed
                 state.results.observe_peer(well=well, failed=failed, now=now)
 
-    def untold_results(self) -> list[AttemptResults]:
+    def take_unreported_results(self) -> list[AttemptResults]:
         """Returns how own attempts ended since the last call, to be told to peers."""
         found = []
         for state in self.states.values():
-            well, failed = state.results.take_untold()
+            well, failed = state.results.take_unreported()
             if well or failed:
                 found.append(AttemptResults(state.id, well, failed))
         return found
@@ -178,7 +181,7 @@
             if state.online or state.batch or state.held
         ]
 
-    def of_own_zone(self) -> list[InFlight]:
+    def own_zone_in_flight(self) -> list[InFlight]:
         """Returns what this instance and its peers have in flight together."""
         found = self.peers.summed()
         for own in self.own():
@@ -190,7 +193,7 @@
 
     def load(self, state: UpstreamState) -> int:
         """Returns all that an upstream has to do."""
-        return self.known_load(state) + state.unknown
+        return self.known_load(state) + state.untracked
 
     def known_load(self, state: UpstreamState) -> int:
         """Returns all that is in flight at an upstream, of all instances."""
@@ -204,13 +207,13 @@
     def online_slots(self, state: UpstreamState) -> int:
         """Returns slots that online requests do not hold; batch gives them up."""
         told = self.peers.online(state.id) + self.zones.online(state.id)
-        return state.upstream.slots - state.online - told - state.unknown
+        return state.upstream.slots - state.online - told - state.untracked
 
     # Decisions.
 
     def choose_online(
         self, service: str, *, tried: Collection[UpstreamId], now: float
-    ) -> UpstreamState | Nowhere:
+    ) -> UpstreamState | NoUpstreamAvailable:
         """Chooses for an online request: a free slot, else one that batch gives up.
 
         Args:
@@ -220,14 +223,14 @@
         """
         serving = self._online_candidates(service, tried, now)
         if not serving:
-            return Nowhere(f"no upstream serves {service}")
+            return NoUpstreamAvailable(f"no upstream serves {service}")
         return min(serving, key=lambda state: self._online_cost(state, now))
 
     def serves(self, service: str, *, avoid: Collection[UpstreamId]) -> bool:
         """Returns whether a service has any upstream that is not leaving."""
         return any(state.id not in avoid for state in self._usable(service))
 
-    def to_avoid(
+    def upstreams_to_avoid(
         self, verdict: Verdict, service: str, *, now: float
     ) -> set[UpstreamId]:
         """Returns upstreams to which a request is not to be sent after ends under it.
@@ -297,9 +300,9 @@
         avoid: Collection[UpstreamId],
         now: float,
         ahead: int = 0,
-        shun: Collection[UpstreamId] = (),
-        apart: Collection[UpstreamId] = (),
-    ) -> UpstreamState | Nowhere:
+        ineligible: Collection[UpstreamId] = (),
+        last_resort: Collection[UpstreamId] = (),
+    ) -> UpstreamState | NoUpstreamAvailable:
         """Chooses for a batch item: an upstream with more free slots than a reserve.
 
         Args:
@@ -308,8 +311,8 @@
           avoid: Upstreams not to be used now.
           now: Seconds on this instance's clock.
           ahead: How many others wait for a slot before the item.
-          shun: Upstreams whose slots are free for others, and not for this item.
-          apart: Upstreams that it takes only if there is no other.
+          ineligible: Upstreams whose slots are free for others, and not for this item.
+          last_resort: Upstreams that it takes only if there is no other.
         """
         service = self.draw_service(route.targets)
         free = {
@@ -321,16 +324,22 @@
         }
         free = {upstream: slots for upstream, slots in free.items() if slots > 0}
         if not free:
-            return Nowhere(f"no slot is free at {service}")
+            return NoUpstreamAvailable(f"no slot is free at {service}")
         left = sum(free.values()) - self._online_headroom(service, now)
         if left <= 0:
-            return Nowhere(f"online requests will take what is free at {service}")
+            return NoUpstreamAvailable(
+                f"online requests will take what is free at {service}"
+            )
         if left <= ahead:
-            return Nowhere(f"{ahead} wait before at {service}", waits=True)
-        states = [self.states[upstream] for upstream in free if upstream not in shun]
+            return NoUpstreamAvailable(f"{ahead} wait before at {service}", waits=True)
+        states = [
+            self.states[upstream] for upstream in free if upstream not in ineligible
+        ]
         if not states:
-            return Nowhere(f"no steady upstream of {service} has a free slot")
-        states = [state for state in states if state.id not in apart] or states
+            return NoUpstreamAvailable(
+                f"no steady upstream of {service} has a free slot"
+            )
+        states = [state for state in states if state.id not in last_resort] or states
         return min(states, key=lambda state: self._batch_cost(state, now))
 
     def _online_headroom(self, service: str, now: float) -> int:
@@ -338,10 +347,10 @@
 
         Calls that are shorter than that hold a slot for their own time only.
         """
-        held_s = min(RESTART_S, self.demand.of(service).service_s)
+        held_s = min(RESTART_S, self.demand.for_service(service).service_time_s)
         return int(self.demand.fleet_rate(service, now=now) * held_s)
 
-    def cuts_next(self, state: UpstreamState, instance: InstanceId) -> bool:
+    def should_preempt(self, state: UpstreamState, instance: InstanceId) -> bool:
         """Returns whether this instance is the one to cut an item at an upstream.
 
         It has the most items there of its availability zone, and its zone of all
@@ -404,7 +413,7 @@
 
     def _doubtful(self, state: UpstreamState, now: float) -> bool:
         """Returns whether a slot that seems free there may be worth less."""
-        return state.results.suspect(now) or now < state.unproved_until
+        return state.results.suspect(now) or now < state.unverified_until
 
     def _load_cost(self, state: UpstreamState) -> float:
         cost = self.load(state) / max(1, state.upstream.slots) * 8
@@ -417,7 +426,7 @@
 
     def _told_late(self, state: UpstreamState) -> bool:
         """Returns whether the counts of an upstream's own zone come as a whole."""
-        return state.upstream.zone != self.zone and bool(self.zones.tellers())
+        return state.upstream.zone != self.zone and bool(self.zones.reporters())
 
     def _far_reserve(self, state: UpstreamState) -> int:
         return FAR_RESERVE if self._told_late(state) else 0
--- a/src/coppercleat/serving/_pauses.py
+++ b/src/coppercleat/serving/_poll_intervals.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from coppercleat.serving._node import GatewaySettings
+from coppercleat.serving._settings import GatewaySettings
 from coppercleat.storage import paced
 
 POLL_S = 1.0
@@ -34,7 +34,7 @@
 """Share of the store's writes that renewals of all instances may take."""
 
 
-def routes_pause_s(
+def routes_poll_interval_s(
     settings: GatewaySettings, instances: int, *, hurry: float = 1.0
 ) -> float:
     """Returns seconds between reads of the routes."""
@@ -42,7 +42,7 @@
     return paced(hurry * wanted_s, instances, _reads(settings))
 
 
-def upstreams_pause_s(
+def upstreams_poll_interval_s(
     settings: GatewaySettings, instances: int, *, hurry: float = 1.0
 ) -> float:
     """Returns seconds between reads of the list of upstreams."""
@@ -50,13 +50,13 @@
     return paced(hurry * wanted_s, instances, _reads(settings))
 
 
-def jobs_pause_s(settings: GatewaySettings, instances: int) -> float:
+def jobs_poll_interval_s(settings: GatewaySettings, instances: int) -> float:
     """Returns seconds between looks at what has changed of the jobs."""
     wanted_s = min(REFRESH_S, settings.cancel_s / REFRESHES_PER_BOUND)
     return paced(wanted_s, instances, _reads(settings))
 
 
-def renewal_pause_s(
+def renewal_interval_s(
     settings: GatewaySettings, instances: int, *, hurry: float = 1.0
 ) -> float:
     """Returns seconds between renewals of an instance's own row."""
@@ -67,7 +67,7 @@
 
 def lease_s(settings: GatewaySettings, instances: int) -> float:
     """Returns for how long a renewal makes an instance count as alive."""
-    return LEASE_RENEWALS * renewal_pause_s(settings, instances)
+    return LEASE_RENEWALS * renewal_interval_s(settings, instances)
 
 
 def _reads(settings: GatewaySettings) -> float:
--- a/src/coppercleat/serving/_progress.py
+++ b/src/coppercleat/serving/_progress.py
@@ -118,7 +118,7 @@
 
 
 _MOVABLE: dict[Passed, Callable[[Route], bool]] = {
-    Passed.NOTHING: lambda route: route.repeatable,
+    Passed.NOTHING: lambda route: route.retryable,
     Passed.EVENTS: lambda route: route.resumes,
     Passed.PLACELESS: lambda route: False,
     Passed.ALL: lambda route: False,
--- a/src/coppercleat/serving/_results.py
+++ b/src/coppercleat/serving/_results.py
@@ -43,7 +43,7 @@
         self._well += well
         self._failed += failed
 
-    def take_untold(self) -> tuple[int, int]:
+    def take_unreported(self) -> tuple[int, int]:
         """Returns how many ended well and failed here since the last call."""
         told = self._untold_well, self._untold_failed
         self._untold_well = self._untold_failed = 0
--- a/src/coppercleat/serving/_silent_runs.py
+++ b/src/coppercleat/serving/_silent_runs.py
@@ -9,7 +9,7 @@
 import trio
 
 from coppercleat.observability import part_logger
-from coppercleat.serving._unknown_runs import UNHEARD_S
+from coppercleat.serving._untracked_requests import ASSUME_RUNNING_AFTER_S
 from coppercleat.serving._upstream_state import UpstreamState
 
 _log = part_logger("silence")
@@ -52,7 +52,7 @@
           silent: Whether it was given up since nothing came.
         """
         silent_s = trio.current_time() - heard_at
-        if not silent and silent_s < UNHEARD_S:
+        if not silent and silent_s < ASSUME_RUNNING_AFTER_S:
             return
         ended = "given_up" if silent else "left"
         _log.info(
--- a/src/coppercleat/serving/_survey.py
+++ b/src/coppercleat/serving/_survey.py
@@ -17,7 +17,7 @@
 from coppercleat.ids import UpstreamId
 from coppercleat.observability import part_logger
 from coppercleat.serving._placement import Placement
-from coppercleat.serving._unknown_runs import HELD_S, believed_runs
+from coppercleat.serving._untracked_requests import HELD_S, estimate_untracked
 from coppercleat.serving._upstream_call import (
     UpstreamBrokeError,
     UpstreamCaller,
@@ -136,10 +136,10 @@
           silent: Whether the run was given up for its silence. If not, the upstream
             may only have paused, and is asked first.
         """
-        state.unheard += 1
+        state.abandoned += 1
         self.doubt([state.id])
         if silent:
-            state.unknown += 1
+            state.untracked += 1
             self._of[state.id].believed_at = trio.current_time()
 
     def _due(self, now: float) -> list[UpstreamState]:
@@ -147,11 +147,11 @@
         states = self.placement.states
         for upstream, asked in list(self._of.items()):
             state = states.get(upstream)
-            if state is not None and now < state.unproved_until:
+            if state is not None and now < state.unverified_until:
                 continue
-            if state is not None and state.unknown:
+            if state is not None and state.untracked:
                 if now >= asked.believed_at + HELD_S:
-                    state.unheard = 0
+                    state.abandoned = 0
                     self._believe(state, 0)
             elif upstream not in self._asking and now >= max(
                 self._all_until, asked.doubted_until
@@ -170,7 +170,7 @@
         until = min(self._all_until, trio.current_time() + AFTER_START_S) + HELD_S
         for upstream, state in self.placement.states.items():
             if upstream not in self._of:
-                state.unproved_until = until
+                state.unverified_until = until
 
     def _is_due(self, state: UpstreamState, now: float) -> bool:
         if state.id in self._asking:
@@ -179,11 +179,11 @@
         if asked is None:
             return now < self._all_until
         doubted = now < max(self._all_until, asked.doubted_until)
-        open_question = now < state.unproved_until or state.unknown > 0
+        open_question = now < state.unverified_until or state.untracked > 0
         return (doubted or open_question) and now >= asked.next_at
 
     def _pause_s(self) -> float:
-        others = len(self.placement.peers.tellers())
+        others = len(self.placement.peers.reporters())
         pause_s = PAUSE_S * max(1.0, (others + 1) / ASKERS)
         return pause_s * self._rng.uniform(0.8, 1.2)
 
@@ -195,39 +195,39 @@
         running = report.running + report.waiting
         asked = self._of.setdefault(state.id, _Asked())
         asked.believed_at = trio.current_time()
-        state.unproved_until = float("-inf")
+        state.unverified_until = float("-inf")
         self._believe(state, max(0, running - self.placement.known_load(state)))
 
     async def _ask(self, state: UpstreamState) -> None:
         asked = self._of.setdefault(state.id, _Asked())
         # Doubts of other upstreams wake this one too; its own pause is kept by half.
         asked.next_at = trio.current_time() + self._pause_s() / 2
-        unheard = state.unheard
+        abandoned = state.abandoned
         known = await self._look(state)
         report = await self._report(state)
         if report is None:
             return
-        if state.unheard != unheard:
+        if state.abandoned != abandoned:
             return  # A run that was left meanwhile is in some of the counts only.
         known.append(self.placement.known_load(state))
         asked.believed_at = trio.current_time()
-        state.unproved_until = float("-inf")
+        state.unverified_until = float("-inf")
         reported = report.running + report.waiting
-        unknown = believed_runs(state.unknown, reported=reported, known=known)
-        if not unknown:
-            state.unheard = 0
-        if unknown == state.unknown:
+        untracked = estimate_untracked(state.untracked, reported=reported, known=known)
+        if not untracked:
+            state.abandoned = 0
+        if untracked == state.untracked:
             return
         _log.info(
             "Runs that nobody has told of.",
             upstream=state.id,
-            unknown=unknown,
-            before=state.unknown,
+            unknown=untracked,
+            before=state.untracked,
             running=report.running,
             waiting=report.waiting,
             known=known[-1],
         )
-        self._believe(state, unknown)
+        self._believe(state, untracked)
 
     async def _report(self, state: UpstreamState) -> UpstreamReport | None:
         """Returns an upstream's report, None if it gives none; ends the question."""
@@ -248,6 +248,6 @@
             known.append(self.placement.known_load(state))
         return known
 
-    def _believe(self, state: UpstreamState, unknown: int) -> None:
-        state.unknown = unknown
+    def _believe(self, state: UpstreamState, untracked: int) -> None:
+        state.untracked = untracked
         self.on_change()
--- a/src/coppercleat/serving/_unknown_runs.py
+++ b/src/coppercleat/serving/_untracked_requests.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Sequence
 
-UNHEARD_S = 0.2
+ASSUME_RUNNING_AFTER_S = 0.2
 """A run that is left after so long without a word may go on: the way to its upstream
 may be silent. Ten times the pause between events, twice a prompt's longest read."""
 
@@ -30,7 +30,7 @@
 on, some stay unused for over 0.6 s at a time."""
 
 
-def believed_runs(before: int, *, reported: int, known: Sequence[int]) -> int:
+def estimate_untracked(before: int, *, reported: int, known: Sequence[int]) -> int:
     """Returns how many unknown runs to believe in after a report.
 
     Args:
--- a/src/coppercleat/serving/_upstream_state.py
+++ b/src/coppercleat/serving/_upstream_state.py
@@ -34,11 +34,11 @@
       health: Ejects it while it fails throughout.
       results: Tells whether it fails a part of its requests.
       silences: When it fell silent, as far as that is held against it.
-      unknown: Requests that it runs and nobody has told of, by its own report.
-      unheard: Own runs that were left unheard since there was an unknown run last;
+      untracked: Requests that it runs and nobody has told of, by its own report.
+      abandoned: Own runs that were left unheard since there was an unknown run last;
         peers are told of as many unknown ones, and hold their slots for taken too.
       full_until: Until when it is taken as full, since it has said so.
-      unproved_until: Until when it may run requests of before this instance's start;
+      unverified_until: Until when it may run requests of before this instance's start;
         never, once it has told how many it runs.
       since: When this life of it began, as seen here; minus infinity if unknown.
       ended_at: When it was last found to have ended under this id.
@@ -58,10 +58,10 @@
     gone: bool = False
     lists_since: int = 0
     restarted: bool = False
-    unknown: int = 0
-    unheard: int = 0
+    untracked: int = 0
+    abandoned: int = 0
     full_until: float = float("-inf")
-    unproved_until: float = float("-inf")
+    unverified_until: float = float("-inf")
     since: float = float("-inf")
     ended_at: float = float("-inf")
     steady_from: float = float("-inf")
@@ -113,7 +113,7 @@
     @property
     def held(self) -> int:
         """Own runs that were left and may still hold their slots."""
-        return min(self.unheard, self.unknown)
+        return min(self.abandoned, self.untracked)
 
     def succeeded(self, now: float) -> None:
         """Notes an attempt that ended well."""
--- a/src/coppercleat/serving/_watch.py
+++ b/src/coppercleat/serving/_watch.py
@@ -16,15 +16,15 @@
 from coppercleat.observability import part_logger
 from coppercleat.quarantine import KeptEnds
 from coppercleat.serving._model import RouteConfig, RouteTable, Upstream
-from coppercleat.serving._node import GatewaySettings
-from coppercleat.serving._pauses import (
-    lease_s,
-    renewal_pause_s,
-    routes_pause_s,
-    upstreams_pause_s,
-)
 from coppercleat.serving._peers import Knowledge
 from coppercleat.serving._placement import Placement
+from coppercleat.serving._poll_intervals import (
+    lease_s,
+    renewal_interval_s,
+    routes_poll_interval_s,
+    upstreams_poll_interval_s,
+)
+from coppercleat.serving._settings import GatewaySettings
 from coppercleat.storage import (
     ABSENT,
     AnswerLostError,
@@ -200,7 +200,7 @@
 
     def holds_lease(self) -> bool:
         """Returns whether others must still take this instance as alive."""
-        pause_s = renewal_pause_s(self.settings, self.instances)
+        pause_s = renewal_interval_s(self.settings, self.instances)
         lasts_s = lease_s(self.settings, self.instances) - pause_s / 2
         return trio.current_time() - self._renewed_at < lasts_s
 
@@ -210,7 +210,7 @@
         return len(self._sights) + 1
 
     @property
-    def others_known(self) -> bool:
+    def has_live_peers(self) -> bool:
         """Whether other instances were alive when they were last looked for."""
         return any(not sight.row.leaving for sight in self._sights.values())
 
@@ -219,7 +219,7 @@
         now = trio.current_time()
         return now - min(self._upstreams_at, self._routes_read_at) > _STARVED_S
 
-    def owner_lives(self, owner: str, *, since: float) -> bool:
+    def is_owner_alive(self, owner: str, *, since: float) -> bool:
         """Returns whether the start of an instance named ``owner`` is alive.
 
         An owner writes its row before it takes a job, so one that is not among
@@ -250,7 +250,10 @@
         """Returns the names of all living instances, this one included."""
         now = trio.current_time()
         names = [f"{i}/{s.row.boot}" for i, s in self._sights.items()]
-        return [self.owner_name, *(n for n in names if self.owner_lives(n, since=now))]
+        return [
+            self.owner_name,
+            *(n for n in names if self.is_owner_alive(n, since=now)),
+        ]
 
     def knowledge(self, after: int) -> Knowledge | None:
         """Returns what a peer that asks should be told."""
@@ -275,10 +278,10 @@
         """Polls until cancelled."""
         async with trio.open_nursery() as nursery:
             for name, poll, pause_of in (
-                ("routes", self._poll_routes, routes_pause_s),
-                ("upstreams", self._poll_upstreams, upstreams_pause_s),
-                ("renewal", self._renew, renewal_pause_s),
-                ("instances", self._poll_instances, renewal_pause_s),
+                ("routes", self._poll_routes, routes_poll_interval_s),
+                ("upstreams", self._poll_upstreams, upstreams_poll_interval_s),
+                ("renewal", self._renew, renewal_interval_s),
+                ("instances", self._poll_instances, renewal_interval_s),
             ):
                 nursery.start_soon(self._forever, name, poll, pause_of)
 
--- a/src/coppercleat/serving/_work_counts.py
+++ b/src/coppercleat/serving/_work_counts.py
@@ -45,7 +45,7 @@
         for count in self._told.pop(teller, {}).values():
             self._add(count, -1)
 
-    def tellers(self) -> list[_T]:
+    def reporters(self) -> list[_T]:
         """Returns whose counts are held."""
         return list(self._told)
 
--- a/tests/features/steps/answer_steps.py
+++ b/tests/features/steps/answer_steps.py
@@ -198,7 +198,7 @@
     admission = Admission(
         AdmissionQueue(placement, rng=random.Random(1)),
         on_change=lambda state, started: None,
-        on_waiting=lambda: None,
+        on_queue_change=lambda: None,
     )
     forwarder = Forwarder(admission, caller, on_end=lambda end: None)
     async with trio.open_nursery() as nursery:
--- a/tests/features/steps/kept_from_running_steps.py
+++ b/tests/features/steps/kept_from_running_steps.py
@@ -4,7 +4,7 @@
 from behave import then
 
 from coppercleat.ids import InstanceId, UpstreamId
-from coppercleat.serving import InFlight, Rank, Waiting
+from coppercleat.serving import InFlight, QueuedWork, Rank
 from tests.harness import (
     COURSES,
     Door,
@@ -129,15 +129,15 @@
 @both("a start of this instance, before any upstream was asked", "x", "y")
 def unproved(placement):
     for state in placement.states.values():
-        state.unproved_until = 6.7
+        state.unverified_until = 6.7
 
 
 # Order and headroom.
 
 
 def tell_of_others(placement, count):
-    waiting = [Waiting(Rank.ONLINE, 0.15, "menus", count)]
-    placement.order.observe(InstanceId("peer"), waiting, now=0.0)
+    waiting = [QueuedWork(Rank.ONLINE, 0.15, "menus", count)]
+    placement.peer_queues.observe(InstanceId("peer"), waiting, now=0.0)
 
 
 @course("word of 7 that wait elsewhere and never come", "the last of 8 requests")
@@ -154,7 +154,7 @@
 
     def meanwhile(now):
         if now >= 1.0:
-            placement.order.forget(InstanceId("peer"))
+            placement.peer_queues.forget(InstanceId("peer"))
 
     return last_of(1, placement, meanwhile)
 
@@ -191,7 +191,7 @@
 @course("a wave of 200 a second for 2 s that has passed", ITEM)
 def wave_passed():
     placement = make_placement("x", "y", "z", "w")
-    figures = placement.demand.of("menus")
+    figures = placement.demand.for_service("menus")
     for number in range(400):
         figures.arrived(now=-2.0 + number / 200)
     return first_time(lambda now: item_may_go(placement, now))
--- a/tests/features/steps/kept_jobs_steps.py
+++ b/tests/features/steps/kept_jobs_steps.py
@@ -7,10 +7,10 @@
 from coppercleat.jobs import JobIndex
 from coppercleat.routing import ranked
 from coppercleat.serving import (
+    QueuedWork,
     Rank,
-    Waiting,
     lease_s,
-    renewal_pause_s,
+    renewal_interval_s,
 )
 from coppercleat.storage import MemoryPlatform
 from tests.harness import (
@@ -98,9 +98,9 @@
 @job_course("word of 7 that wait elsewhere and never come", "the last of 8 items")
 async def others_wait(play, nursery):
     began = trio.current_time()
-    waiting = [Waiting(Rank.ONLINE, 100.0, "menus", 7)]
-    order = play.instances[0].placement.order
-    order.observe(InstanceId("peer"), waiting, now=began)
+    waiting = [QueuedWork(Rank.ONLINE, 100.0, "menus", 7)]
+    peer_queues = play.instances[0].placement.peer_queues
+    peer_queues.observe(InstanceId("peer"), waiting, now=began)
     await play.submit(8)
     return await play.until_run("job-7", began)
 
@@ -208,7 +208,7 @@
 def owner_lost_among(count):
     """Returns the lease and a poll of it, as they are stretched by a fleet's size."""
     settings = node_settings("i-0", "a")
-    return lease_s(settings, count) + 1.1 * renewal_pause_s(settings, count)
+    return lease_s(settings, count) + 1.1 * renewal_interval_s(settings, count)
 
 
 course("a loss of power of its owner among 66", ITEM)(lambda: owner_lost_among(66))
--- a/tests/features/steps/kept_slots_steps.py
+++ b/tests/features/steps/kept_slots_steps.py
@@ -278,7 +278,7 @@
     admission = Admission(
         AdmissionQueue(placement, rng=random.Random(1)),
         on_change=lambda state, started: None,
-        on_waiting=lambda: None,
+        on_queue_change=lambda: None,
     )
     caller = Recovering(trio.current_time() + 0.3, breaks)
     forwarder = Forwarder(admission, caller, on_end=lambda end: None)
--- a/tests/features/steps/link_steps.py
+++ b/tests/features/steps/link_steps.py
@@ -18,7 +18,7 @@
 )
 from coppercleat.observability import Metrics
 from coppercleat.routing import PeerArrivals
-from coppercleat.serving import InFlight, Rank, Waiting, WorkInFlight, ZoneWork
+from coppercleat.serving import InFlight, QueuedWork, Rank, WorkInFlight, ZoneWork
 from tests.harness import (
     Relay,
     RelayedFleet,
@@ -162,7 +162,7 @@
 def tells_no_more(context, teller, how):
     zone = "a" if teller == "peer" else "b"
     counts = (InFlight(UpstreamId("x"), 3, 0),)
-    waiting = (Waiting(Rank.ONLINE, 100.0, "menus", 1),)
+    waiting = (QueuedWork(Rank.ONLINE, 100.0, "menus", 1),)
     work = WorkInFlight(counts, waiting)
     if teller == "zone":
         work = ZoneWork(ZoneId("b"), counts)
@@ -193,7 +193,7 @@
             after_s = trio.current_time() - began
             if one.placement.load(state) == 3:
                 context.counted_s = {"me": after_s}
-            if one.placement.order:
+            if one.placement.peer_queues:
                 context.waits_s = after_s
         one.messenger.links.close()
 
--- a/tests/features/steps/no_processor_time_steps.py
+++ b/tests/features/steps/no_processor_time_steps.py
@@ -199,7 +199,7 @@
         admission = Admission(
             AdmissionQueue(placement, rng=random.Random(1)),
             on_change=lambda state, started: None,
-            on_waiting=lambda: None,
+            on_queue_change=lambda: None,
         )
         forwarder = Forwarder(admission, context.caller, on_end=lambda end: None)
         async with trio.open_nursery() as nursery:
--- a/tests/features/steps/online_load_steps.py
+++ b/tests/features/steps/online_load_steps.py
@@ -10,23 +10,23 @@
 from coppercleat.ids import InstanceId, UpstreamId, ZoneId
 from coppercleat.serving import (
     AdmissionQueue,
-    AnswerTimes,
     Demand,
-    FleetOrder,
     InFlight,
-    Nowhere,
-    Patience,
-    Place,
+    NoUpstreamAvailable,
+    Overloaded,
+    PeerQueues,
     Placement,
+    QueuedRequest,
+    QueuedWork,
+    QueuePosition,
     Rank,
+    ResponseTimes,
     Route,
     RouteKind,
     Target,
-    TooLate,
     Upstream,
     UpstreamState,
-    Waiter,
-    Waiting,
+    YieldTimer,
 )
 from tests.harness import SimulatedLinks
 
@@ -96,7 +96,7 @@
             for _ in range(self._arrivals(rate_at(now))):
                 self._arrive(self.rng.choice(self.queues), now)
             for queue in self.queues:
-                queue.settle(now=now, on_settled=lambda w, n=now: self._settled(w, n))
+                queue.dispatch(now=now, on_decided=lambda w, n=now: self._settled(w, n))
         return self.played
 
     def _arrivals(self, rate):
@@ -105,17 +105,17 @@
 
     def _arrive(self, queue, now):
         self.played.arrived += 1
-        demand = queue.demand.of("menus")
+        demand = queue.demand.for_service("menus")
         demand.arrived(now=now)
-        demand.service_s = SERVICE_S
-        waiter = Waiter(
+        demand.service_time_s = SERVICE_S
+        waiter = QueuedRequest(
             service="menus",
             priority=0,
             on_time_by=now + TARGET_S - LEAD_S,
             serve_by=now + ALLOWED_S - SERVICE_S,
         )
         queue.enter(waiter, now=now)
-        if isinstance(waiter.outcome, TooLate):
+        if isinstance(waiter.outcome, Overloaded):
             self.played.refused += 1
             self.played.retry_after.append(waiter.outcome.retry_after_s)
 
@@ -154,7 +154,7 @@
                 if queue is teller:
                     continue
                 queue.placement.peers.observe(name, counts)
-                queue.order.observe(name, teller.summary(now=now), now=now)
+                queue.peer_queues.observe(name, teller.summary(now=now), now=now)
                 queue.demand.observe(name, teller.demand.own_rates(now=now))
 
 
@@ -192,11 +192,11 @@
         counts, waiting, rates = message
         queue = self._queue(receiver)
         queue.placement.peers.observe(sender, counts)
-        queue.order.observe(sender, waiting, now=self.links.now)
+        queue.peer_queues.observe(sender, waiting, now=self.links.now)
         queue.demand.observe(sender, rates)
 
     def _reopened(self, sender, receiver):
-        self._queue(sender).order.forget(receiver)
+        self._queue(sender).peer_queues.forget(receiver)
         self._tell_one(sender, receiver)
 
     def _queue(self, name):
@@ -304,7 +304,7 @@
     found = {}
     for part in text.split():
         name, on_time_by, serve_by, *priority = part.split(":")
-        found[name] = Waiter(
+        found[name] = QueuedRequest(
             service="menus",
             priority=int(priority[0]) if priority else 0,
             on_time_by=float(on_time_by),
@@ -331,33 +331,35 @@
             waiter.outcome.online += 1
             served.append(waiter)
 
-    queue.settle(now=now, on_settled=settled)
+    queue.dispatch(now=now, on_decided=settled)
     names = [name for w in served for name, waiter in waiters.items() if waiter is w]
     assert " ".join(names or ["nobody"]) == order, names
 
 
 @then("beside {others} elsewhere, one that is due in {due:g} s has {ahead:d} before it")
 def ahead_of(context, others, due, ahead):
-    order = FleetOrder()
+    order = PeerQueues()
     for number, part in enumerate(others.split()):
         rank, due_in_s, count, *service = part.split(":")
         name = service[0] if service else "menus"
-        told = Waiting(Rank[rank], float(due_in_s), name, int(count))
+        told = QueuedWork(Rank[rank], float(due_in_s), name, int(count))
         order.observe(InstanceId(f"i{number}"), [told], now=10.0)
-    found = order.ahead(Place(Rank.ONLINE, 10.0 + due), service="menus", now=10.0)
+    found = order.ahead(
+        QueuePosition(Rank.ONLINE, 10.0 + due), service="menus", now=10.0
+    )
     assert found == ahead, found
 
 
 @then("an open slot that is left to others is taken after {least:g} to {most:g} s")
 def patience_ends(context, least, most):
     for seed in range(50):
-        patience = Patience(random.Random(seed))
+        patience = YieldTimer(random.Random(seed))
         now = 0.0
-        while not patience.overdue(now):
+        while not patience.expired(now):
             now += 0.001
         assert least <= now <= most, now
         patience.reset()
-        assert not patience.overdue(now)
+        assert not patience.expired(now)
 
 
 @then("with {state} a new request ends {outcome} at once")
@@ -372,7 +374,7 @@
             upstream.online = 0
             upstream.health.unreachable(0.0)
     allowed = 0.01 if "short" in state else ALLOWED_S
-    waiter = Waiter(
+    waiter = QueuedRequest(
         service="menus",
         priority=0,
         on_time_by=TARGET_S,
@@ -382,11 +384,11 @@
     for _ in range(600 if "thousands" in state else 0):
         queue.enter(attrs.evolve(waiter, begun=True), now=0.0)
     queue.enter(waiter, now=0.0)
-    queue.settle(now=0.0, on_settled=lambda settled: None)
+    queue.dispatch(now=0.0, on_decided=lambda settled: None)
     found = {
         UpstreamState: "served",
-        Nowhere: "nowhere",
-        TooLate: "refused",
+        NoUpstreamAvailable: "nowhere",
+        Overloaded: "refused",
         type(None): "waiting",
     }[type(waiter.outcome)]
     assert found == outcome, waiter.outcome
@@ -401,14 +403,14 @@
     placement.replace(upstreams(1))
     (state,) = placement.states.values()
     state.online = 8 - free
-    demand = placement.demand.of("menus")
-    demand.service_s = ms / 1000
+    demand = placement.demand.for_service("menus")
+    demand.service_time_s = ms / 1000
     for number in range(rate * 10):
         demand.arrived(now=number / max(1, rate))
     elsewhere = int(end.split()[-2]) if "elsewhere" in end else 0
     found = placement.choose_batch(WEEK, reserve=0, avoid=(), now=10.0, ahead=elsewhere)
     assert isinstance(found, UpstreamState) == end.startswith("placed"), found
-    if isinstance(found, Nowhere):
+    if isinstance(found, NoUpstreamAvailable):
         assert found.waits == ("elsewhere" in end), found
 
 
@@ -417,7 +419,7 @@
     placement = Placement(ZoneId("a"), rng=random.Random(1))
     placement.replace(upstreams(1))
     (state,) = placement.states.values()
-    state.online, state.unknown = known, unknown
+    state.online, state.untracked = known, unknown
     assert placement.open_slots("menus", avoid=(), now=0.0) == free
     found = placement.choose_batch(WEEK, reserve=0, avoid=(), now=0.0)
     assert isinstance(found, UpstreamState) == (free > 0), found
@@ -432,7 +434,7 @@
     for state in placement.states.values():
         state.online = 8
     waiters = [
-        Waiter(service=service, priority=0, on_time_by=due, serve_by=4.0)
+        QueuedRequest(service=service, priority=0, on_time_by=due, serve_by=4.0)
         for service, due in (("calc", 0.1), ("calc", 0.1), ("menus", 0.3))
     ]
     for waiter in waiters:
@@ -441,17 +443,17 @@
     assert sorted(one.service for one in told) == ["calc", "calc", "menus"], told
     for state in placement.states.values():
         state.online -= state.upstream.service == "menus"
-    queue.settle(now=0.0, on_settled=lambda waiter: None)
+    queue.dispatch(now=0.0, on_decided=lambda waiter: None)
     assert [type(w.outcome) for w in waiters] == [type(None), type(None), UpstreamState]
 
 
 @then("an answer of {first:g} s and one of {second:g} s make a time of {mean:g} s")
 def answer_times(context, first, second, mean):
-    times = AnswerTimes()
+    times = ResponseTimes()
     for took in (first, second):
-        times.observe(lead_s=took, service_s=took)
-    assert abs(times.service_s - mean) < 1e-9, times
-    assert abs(times.lead_s - mean) < 1e-9, times
+        times.observe(ttfb_s=took, service_time_s=took)
+    assert abs(times.service_time_s - mean) < 1e-9, times
+    assert abs(times.ttfb_s - mean) < 1e-9, times
 
 
 @then("the rates of a zone are those of its instances, and are forgotten with it")
@@ -459,7 +461,7 @@
     demand = Demand()
     demand.observe(InstanceId("i1"), {"menus": 2.0})
     demand.observe(InstanceId("i2"), {"menus": 1.0, "calc": 1.0})
-    found = demand.rates_of([InstanceId("i1"), InstanceId("i2")], now=0.0)
+    found = demand.combined_rates([InstanceId("i1"), InstanceId("i2")], now=0.0)
     assert found == {"menus": 3.0, "calc": 1.0}, found
     demand.observe(ZoneId("z"), {"menus": 5.0})
     assert demand.fleet_rate("menus", now=0.0) == 8.0
@@ -477,9 +479,9 @@
     queue = AdmissionQueue(placement, rng=placement.rng)
     for state in placement.states.values():
         state.online = 9
-    waiter = Waiter(service="menus", priority=0, on_time_by=0.25, serve_by=4.2)
+    waiter = QueuedRequest(service="menus", priority=0, on_time_by=0.25, serve_by=4.2)
     queue.enter(waiter, now=0.0)
-    queue.closes_at = stops
-    queue.settle(now=now, on_settled=lambda settled: None)
-    found = "refused" if isinstance(waiter.outcome, TooLate) else "waiting"
+    queue.shutdown_at = stops
+    queue.dispatch(now=now, on_decided=lambda settled: None)
+    found = "refused" if isinstance(waiter.outcome, Overloaded) else "waiting"
     assert found == end, waiter.outcome
--- a/tests/features/steps/quarantine_decision_steps.py
+++ b/tests/features/steps/quarantine_decision_steps.py
@@ -29,7 +29,7 @@
     UpstreamReport,
     UpstreamState,
     Watch,
-    life_question,
+    incarnation_probe,
 )
 from coppercleat.storage import MemoryPlatform
 from tests.harness import node_settings
@@ -189,7 +189,7 @@
     state = placement.states[UpstreamId("a")]
     if does == "is no longer listed":
         placement.replace([])
-    watch = EndWatch(life_question(AskedUpstream(answers)))
+    watch = EndWatch(incarnation_probe(AskedUpstream(answers)))
     # Others end up with the same.
     other = EndLedger()
     watch.on_news = lambda found, cleared: other.take_told(
@@ -256,8 +256,8 @@
         lambda s: not s.silences.is_new(0.0),
     ),
     "runs in flight": (lambda s: setattr(s, "online", 3), lambda s: s.online == 3),
-    "unknown runs": (lambda s: setattr(s, "unknown", 3), lambda s: s.unknown == 3),
-    "unheard runs": (lambda s: setattr(s, "unheard", 3), lambda s: s.unheard == 3),
+    "unknown runs": (lambda s: setattr(s, "untracked", 3), lambda s: s.untracked == 3),
+    "unheard runs": (lambda s: setattr(s, "abandoned", 3), lambda s: s.abandoned == 3),
     "a full queue": (
         lambda s: setattr(s, "full_until", 9.0),
         lambda s: s.full_until == 9.0,
--- a/tests/features/steps/serving_steps.py
+++ b/tests/features/steps/serving_steps.py
@@ -32,7 +32,7 @@
     AttemptEnd,
     EventSplitter,
     InFlight,
-    Nowhere,
+    NoUpstreamAvailable,
     Passed,
     Placement,
     RecentResults,
@@ -42,11 +42,11 @@
     UpstreamList,
     Watch,
     WorkCounts,
-    jobs_pause_s,
+    jobs_poll_interval_s,
     lease_s,
-    renewal_pause_s,
-    routes_pause_s,
-    upstreams_pause_s,
+    renewal_interval_s,
+    routes_poll_interval_s,
+    upstreams_poll_interval_s,
 )
 from coppercleat.storage import AnswerLostError, Changes, MemoryPlatform
 from tests.harness import (
@@ -130,7 +130,9 @@
         found = placement.choose_online("menus", tried=(), now=0.0)
     else:
         found = placement.choose_batch(make_route(), reserve=1, avoid=(), now=0.0)
-    assert ("nowhere" if isinstance(found, Nowhere) else found.id) == choice, found
+    assert (
+        "nowhere" if isinstance(found, NoUpstreamAvailable) else found.id
+    ) == choice, found
 
 
 @then('this instance "{name}" of zone "{zone}" cuts next: {cuts}')
@@ -148,7 +150,7 @@
                 counts.observe(teller, [InFlight(UpstreamId("x"), 0, int(items))])
     state = placement.states[UpstreamId("x")]
     state.batch = own
-    assert placement.cuts_next(state, InstanceId(name)) == (cuts == "yes")
+    assert placement.should_preempt(state, InstanceId(name)) == (cuts == "yes")
 
 
 @then("{steps:d} random reports and departures leave the sums as counted anew")
@@ -172,7 +174,7 @@
             ]
             assert counts.online(upstream) == sum(c.online for c in of_upstream)
             assert counts.batch(upstream) == sum(c.batch for c in of_upstream)
-    assert sorted(counts.tellers()) == sorted(told)
+    assert sorted(counts.reporters()) == sorted(told)
 
 
 def upstreams_named(names):
@@ -568,7 +570,7 @@
             platform.away = False
             for _ in range(70):
                 await trio.sleep(0.1)
-                lives = watcher.owner_lives(other.owner_name, since=0.0)
+                lives = watcher.is_owner_alive(other.owner_name, since=0.0)
                 context.alive.append(lives)
             nursery.cancel_scope.cancel()
 
@@ -712,7 +714,11 @@
 )
 def read_pauses(context, routes, upstreams, jobs):
     asked = context.settings, context.instances
-    pauses = routes_pause_s(*asked), upstreams_pause_s(*asked), jobs_pause_s(*asked)
+    pauses = (
+        routes_poll_interval_s(*asked),
+        upstreams_poll_interval_s(*asked),
+        jobs_poll_interval_s(*asked),
+    )
     found = [round(pause, 6) for pause in pauses]
     assert found == [routes, upstreams, jobs], found
 
@@ -720,7 +726,7 @@
 @then("they renew every {renew:g} s and count as gone after {lease:g} s")
 def renewals(context, renew, lease):
     asked = context.settings, context.instances
-    assert (renewal_pause_s(*asked), lease_s(*asked)) == (renew, lease)
+    assert (renewal_interval_s(*asked), lease_s(*asked)) == (renew, lease)
 
 
 @then(
@@ -728,8 +734,12 @@
 )
 def within_rates(context):
     asked = context.settings, context.instances
-    pauses = routes_pause_s(*asked), upstreams_pause_s(*asked), jobs_pause_s(*asked)
-    renewal_s = renewal_pause_s(*asked)
+    pauses = (
+        routes_poll_interval_s(*asked),
+        upstreams_poll_interval_s(*asked),
+        jobs_poll_interval_s(*asked),
+    )
+    renewal_s = renewal_interval_s(*asked)
     reads = sum(context.instances / pause for pause in (*pauses, renewal_s))
     store = context.settings.store
     assert reads <= store.reads_per_s * 0.8, reads
@@ -785,8 +795,8 @@
         now += 0.5
         results.observe(failed=end == "f", now=now)
     assert results.suspect(now + later) == (taken == "suspect")
-    assert results.take_untold() == (ends.count("w"), ends.count("f"))
-    assert results.take_untold() == (0, 0)
+    assert results.take_unreported() == (ends.count("w"), ends.count("f"))
+    assert results.take_unreported() == (0, 0)
 
 
 @when("3 requests are in flight at an instance for {later:g} s and another starts")
--- a/tests/features/steps/silence_steps.py
+++ b/tests/features/steps/silence_steps.py
@@ -101,7 +101,7 @@
         admission = Admission(
             AdmissionQueue(placement, rng=random.Random(1)),
             on_change=lambda state, started: None,
-            on_waiting=lambda: None,
+            on_queue_change=lambda: None,
         )
         forwarder = Forwarder(admission, caller, on_end=lambda end: None)
         request = OnlineRequest(
@@ -172,7 +172,7 @@
     admission = Admission(
         AdmissionQueue(placement, rng=random.Random(1)),
         on_change=lambda state, started: None,
-        on_waiting=lambda: None,
+        on_queue_change=lambda: None,
     )
     forwarder = Forwarder(admission, SilentForEver(), on_end=lambda end: None)
     route = msgspec.structs.replace(ROUTE, resumable=False, max_attempts=1)
--- a/tests/features/steps/steadiness_steps.py
+++ b/tests/features/steps/steadiness_steps.py
@@ -20,10 +20,10 @@
     AdmissionQueue,
     NothingListensError,
     Placement,
+    QueuedRequest,
     Upstream,
     UpstreamState,
-    Waiter,
-    life_question,
+    incarnation_probe,
 )
 from tests.harness import make_route
 
@@ -61,10 +61,10 @@
         now = float(at)
         end = End(self.upstream.id, now, self.upstream.born_ms)
         if what == "ends":
-            self.placement.note_end(end, now)
+            self.placement.record_crash(end, now)
             return
         if what == "lives after all, found":
-            self.placement.take_back_end(end)
+            self.placement.retract_crash(end)
             return
         if not self.placement.states:
             self.placement.replace([], now=0.0)
@@ -135,8 +135,8 @@
     lives = Lives()
     for what in LIVED[lived]:
         lives.learn(what)
-    watch, other = EndWatch(life_question(Gone())), EndLedger()
-    watch.on_ended = lives.placement.note_end
+    watch, other = EndWatch(incarnation_probe(Gone())), EndLedger()
+    watch.on_ended = lives.placement.record_crash
     watch.on_news = lambda ends, cleared: other.take_told(
         ends, cleared, now=trio.current_time()
     )
@@ -185,7 +185,7 @@
 @then("it may go to {count:d}, and comes back in {s:g} s if to none")
 def may_go(context, count, s):
     placement = context.placement
-    avoid = placement.to_avoid(context.verdict, MENUS, now=100.0)
+    avoid = placement.upstreams_to_avoid(context.verdict, MENUS, now=100.0)
     assert len(placement.states.keys() - avoid) == count, avoid
     assert placement.serves(MENUS, avoid=avoid) == (count > 0)
     assert placement.steady_in_s(MENUS, now=100.0) == s
@@ -207,7 +207,7 @@
     placement.replace([steady, other], now=100.0)
     placement.states[steady.id].online = steady.slots
     queue = AdmissionQueue(placement, rng=random.Random(1))
-    waiter = Waiter(
+    waiter = QueuedRequest(
         service=MENUS,
         priority=0,
         on_time_by=105.0,
@@ -220,7 +220,7 @@
         now = 103.0
     elif what == "the steady one is gone":
         placement.replace([other], now=now)
-    queue.settle(now=now, on_settled=lambda settled: None)
+    queue.dispatch(now=now, on_decided=lambda settled: None)
     context.waiter = waiter
 
 
@@ -243,9 +243,9 @@
     placement.replace([upstream(name) for name in "abc"], now=100.0)
     placement._online_headroom = lambda service, now: online
     verdict = verdict_with(ends, at=100.0)
-    shun = placement.to_avoid(verdict, MENUS, now=100.0)
+    ineligible = placement.upstreams_to_avoid(verdict, MENUS, now=100.0)
     context.chosen = placement.choose_batch(
-        make_route(), reserve=0, avoid=(), now=100.0, shun=shun
+        make_route(), reserve=0, avoid=(), now=100.0, ineligible=ineligible
     )
 
 
--- a/tests/features/steps/unknown_runs_steps.py
+++ b/tests/features/steps/unknown_runs_steps.py
@@ -14,7 +14,7 @@
     Upstream,
     UpstreamBrokeError,
     UpstreamReport,
-    believed_runs,
+    estimate_untracked,
 )
 
 X = UpstreamId("x")
@@ -28,7 +28,7 @@
 )
 def report_leaves(context, before, number, known, left):
     counts = [int(count) for count in known.split()]
-    found = believed_runs(before, reported=number, known=counts)
+    found = estimate_untracked(before, reported=number, known=counts)
     assert found == left, found
 
 
@@ -101,9 +101,9 @@
         """Notes how far the belief is from the truth, and the slots left unused."""
         while True:
             await trio.sleep(0.01)
-            assert self.state.unknown >= 0
+            assert self.state.untracked >= 0
             truth = self.upstream.running() - self.state.online
-            self.off.append((trio.current_time(), self.state.unknown - truth))
+            self.off.append((trio.current_time(), self.state.untracked - truth))
 
     def run(self, act, *, lasts=5.0):
         """Acts beside the requests, 3 s after the start, and goes on for a time."""
--- a/tests/harness/_ends_play.py
+++ b/tests/harness/_ends_play.py
@@ -26,7 +26,7 @@
     Submission,
 )
 from coppercleat.quarantine import EndKeeper, EndWatch, KeptEnds
-from coppercleat.serving import Placement, RouteConfig, RouteTable, life_question
+from coppercleat.serving import Placement, RouteConfig, RouteTable, incarnation_probe
 from coppercleat.storage import MemoryPlatform
 from tests.harness._ends_plan import (
     CALM_S,
@@ -83,8 +83,8 @@
         self.wakes_at = self.reads_rows_at = 0.0
         rng = random.Random(f"{play.plan.seed} {number} {start}")
         self.placement = Placement(ZoneId("a"), rng=rng)
-        self.watch = EndWatch(life_question(play.caller))
-        self.watch.on_ended = self.placement.note_end
+        self.watch = EndWatch(incarnation_probe(play.caller))
+        self.watch.on_ended = self.placement.record_crash
         self.keeper = EndKeeper(
             self.watch.ledger,
             clock=trio.current_time,
@@ -108,7 +108,7 @@
             owner=self.owner,
             clock=trio.current_time,
             routes=lambda: table,
-            owner_lives=lambda owner, since: owner in play.living(),
+            is_owner_alive=lambda owner, since: owner in play.living(),
             living=play.living,
             holds_lease=lambda: True,
             isolated=lambda: False,
--- a/tests/harness/_job_play.py
+++ b/tests/harness/_job_play.py
@@ -227,7 +227,7 @@
             owner=self.watch.owner_name,
             clock=clock,
             routes=lambda: RouteTable(config),
-            owner_lives=self.watch.owner_lives,
+            is_owner_alive=self.watch.is_owner_alive,
             living=self.watch.living,
             holds_lease=self.watch.holds_lease,
             isolated=lambda: False,
--- a/tests/harness/_kept_work.py
+++ b/tests/harness/_kept_work.py
@@ -13,8 +13,8 @@
 from coppercleat.serving import (
     AdmissionQueue,
     Placement,
+    QueuedRequest,
     UpstreamState,
-    Waiter,
 )
 from tests.harness._jobs import make_route
 from tests.harness._links import roomy_upstream
@@ -96,7 +96,7 @@
         self.served_at: dict[str, float] = {}
         self.told_s = 0.0
         self._back_at: dict[str, float] = {}
-        self._waits: dict[str, Waiter] = {}
+        self._waits: dict[str, QueuedRequest] = {}
         self._times: dict[str, tuple[float, float]] = {}
         self._running: list[tuple[float, UpstreamState]] = []
 
@@ -123,7 +123,7 @@
             if back_at <= now:
                 del self._back_at[client]
                 self._enter(client, now)
-        self.queue.settle(now=now, on_settled=lambda waiter: self._take(waiter, now))
+        self.queue.dispatch(now=now, on_decided=lambda waiter: self._take(waiter, now))
         for client, waiter in list(self._waits.items()):
             self._note(client, waiter, now)
 
@@ -136,22 +136,22 @@
 
     def _enter(self, client: str, now: float) -> None:
         on_time_s, serve_s = self._times[client]
-        waiter = Waiter(
+        waiter = QueuedRequest(
             service="menus",
             priority=0,
             on_time_by=now + on_time_s,
             serve_by=now + serve_s,
         )
-        self.placement.demand.of("menus").arrived(now=now)
+        self.placement.demand.for_service("menus").arrived(now=now)
         self.queue.enter(waiter, now=now)
         self._waits[client] = waiter
 
-    def _take(self, waiter: Waiter, now: float) -> None:
+    def _take(self, waiter: QueuedRequest, now: float) -> None:
         if isinstance(waiter.outcome, UpstreamState):
             waiter.outcome.online += 1
             self._running.append((now + ANSWER_S, waiter.outcome))
 
-    def _note(self, client: str, waiter: Waiter, now: float) -> None:
+    def _note(self, client: str, waiter: QueuedRequest, now: float) -> None:
         if waiter.outcome is None:
             return
         del self._waits[client]
