--- a/src/coppercleat/gateway/_gateway.py
+++ b/src/coppercleat/gateway/_gateway.py
@@ -231,7 +231,7 @@
     def _counts_changed(self) -> None:
         """Looks anew for slots, after others have told what they have in flight."""
         self.items.preempt()
-        self.admission.look()
+        self.admission.dispatch()
         self.worker.look()
 
     def _unknown_changed(self) -> None:
--- a/src/coppercleat/serving/_admission.py
+++ b/src/coppercleat/serving/_admission.py
@@ -1,4 +1,4 @@
-"""Lets online requests wait for a slot, and wakes those that get one."""
+"""Runs the admission queue: requests wait for a slot and hold it."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 from coppercleat.serving._placement import NoUpstreamAvailable
 from coppercleat.serving._upstream_state import UpstreamState
 
-_LOOK_EVERY_S = 0.01
-"""Pause between looks while requests wait: what changes is told at once, but patience
-and deadlines run out by themselves."""
+_DISPATCH_INTERVAL_S = 0.01
+"""Seconds between dispatches while requests are queued. Changes of load trigger one at
+once, but timers and deadlines expire without an event."""
 
-
-_LEAST_PAUSE_S = 0.005
-"""Least time between two looks: in an overload something changes some hundred times a
-second, and each look goes over all that waits."""
+_MIN_DISPATCH_INTERVAL_S = 0.005
+"""Shortest time in seconds between two dispatches: each goes over the whole queue, and
+under overload the load changes hundreds of times per second."""
 
 
 class Admission:
-    """The queue of an instance, with its clock.
+    """Admission queue of an instance, driven by the instance's clock.
 
     Attributes:
-      queue: Decides.
-      on_change: Told of an upstream whose load has changed, and whether it has grown.
-      on_queue_change: Told that requests have begun or ceased to wait.
+      queue: Decides which request gets which slot.
+      on_change: Called with an upstream whose load has changed, and whether it grew.
+      on_queue_change: Called when a request has joined the queue, or has left it
+        without an outcome.
     """
 
     def __init__(
@@ -44,70 +44,71 @@
         self.queue = queue
         self.on_change = on_change
         self.on_queue_change = on_queue_change
-        self._settled: dict[QueuedRequest, trio.Event] = {}
-        self._entered = trio.Event()
-        self._looked_at = float("-inf")
+        self._decided: dict[QueuedRequest, trio.Event] = {}
+        self._queued = trio.Event()
+        self._dispatched_at = float("-inf")
 
     async def run(self) -> None:
-        """Looks again and again while requests wait, until cancelled."""
+        """Dispatches regularly while requests are queued, until cancelled."""
         while True:
-            await self._entered.wait()
-            self._entered = trio.Event()
+            await self._queued.wait()
+            self._queued = trio.Event()
             while len(self.queue):
-                await trio.sleep(_LOOK_EVERY_S)
-                self.look()
+                await trio.sleep(_DISPATCH_INTERVAL_S)
+                self.dispatch()
 
-    def look(self) -> None:
-        """Gives slots to those whose turn it is, unless that was just looked at."""
+    def dispatch(self) -> None:
+        """Gives free slots to queued requests, unless that has just been done."""
         now = trio.current_time()
-        if len(self.queue) and now - self._looked_at >= _LEAST_PAUSE_S:
-            self._look(now)
+        if len(self.queue) and now - self._dispatched_at >= _MIN_DISPATCH_INTERVAL_S:
+            self._dispatch(now)
 
-    def _look(self, now: float) -> None:
-        self._looked_at = now
-        self.queue.dispatch(now=now, on_decided=self._settle)
+    def _dispatch(self, now: float) -> None:
+        self._dispatched_at = now
+        self.queue.dispatch(now=now, on_decided=self._on_decided)
 
     @contextlib.asynccontextmanager
     async def slot(
-        self, waiter: QueuedRequest
+        self, request: QueuedRequest
     ) -> AsyncIterator[UpstreamState | NoUpstreamAvailable | Overloaded]:
         """Waits for a slot and holds it until the context is left.
 
         Args:
-          waiter: The request, as the queue sees it.
+          request: The request, not yet queued.
 
         Yields:
-          The upstream that has the slot, or why there is none.
+          The upstream of the slot, or why the request got none.
         """
-        settled = self._settled[waiter] = trio.Event()
-        self.queue.enter(waiter, now=trio.current_time())
+        decided = self._decided[request] = trio.Event()
+        self.queue.enter(request, now=trio.current_time())
         try:
-            self._look(trio.current_time())
-            if waiter.outcome is None:
-                self._entered.set()
+            self._dispatch(trio.current_time())
+            if request.outcome is None:
+                self._queued.set()
                 self.on_queue_change()
-                await settled.wait()
-            assert waiter.outcome is not None
-            yield waiter.outcome
+                await decided.wait()
+            assert request.outcome is not None
+            yield request.outcome
         finally:
-            self._leave(waiter)
+            self._release(request)
 
-    def _settle(self, waiter: QueuedRequest) -> None:
-        if isinstance(waiter.outcome, UpstreamState):
-            state = waiter.outcome
+    def _on_decided(self, request: QueuedRequest) -> None:
+        if isinstance(request.outcome, UpstreamState):
+            state = request.outcome
             state.online += 1
             state.health.started()
             self.on_change(state, True)
-        self._settled[waiter].set()
-
-    def _leave(self, waiter: QueuedRequest) -> None:
-        del self._settled[waiter]
-        self.queue.leave(waiter)
-        if isinstance(waiter.outcome, UpstreamState):
-            state = waiter.outcome
+        self._decided[request].set()
+
+    def _release(self, request: QueuedRequest) -> None:
+        """Removes a request from the queue, or releases its slot."""
+        del self._decided[request]
+        self.queue.leave(request)
+        if isinstance(request.outcome, UpstreamState):
+            state = request.outcome
             state.online -= 1
             state.health.abandoned()
             self.on_change(state, False)
-            self.look()
-        elif waiter.outcome is None:
+            self.dispatch()
+        elif request.outcome is None:
             self.on_queue_change()
--- a/src/coppercleat/serving/_flap_damping.py
+++ b/src/coppercleat/serving/_flap_damping.py
@@ -1,8 +1,8 @@
-"""Tells upstreams that have lived for a while from those that end again and again.
+"""Flap damping: tells steady upstreams from those that crash again and again.
 
-The pattern is flap damping: what has just come back is likely to go again, and as soon
-as the last times. An end of such an upstream says little of what ran on it, and work
-that has met ends is sent to the others.
+An upstream that has just restarted is likely to crash again after about the time of its
+last incarnations. Such a crash is weak evidence against the request it interrupted, so
+requests under which upstreams crashed are sent to steady upstreams.
 """
 
 from __future__ import annotations
@@ -13,114 +13,121 @@
 from coppercleat.serving._upstream_state import UpstreamState
 
 STEADY_S = 2.0
-"""After its start an upstream is taken to be steady so much later. One that ends by
-itself mostly does so as it starts up, or as it takes its first requests."""
+"""Shortest uptime of a steady upstream, in seconds: most spontaneous crashes happen
+during startup or with the first requests."""
 
-OUTLIVED = 1.5
-"""One that ended soon after its start must outlive that by this factor."""
+UPTIME_MARGIN = 1.5
+"""Factor by which the uptime must exceed the recent short uptimes of the service."""
 
-SHORT_LIFE_S = 5.0
-MOST_STEADY_S = 7.0
-"""A life that is longer than the first leaves time for the work; and no work is kept
-for longer than the second by what has ended, as it may be due in 18 s and take 5 s."""
+SHORT_UPTIME_S = 5.0
+"""Longest uptime that counts as short, in seconds; longer ones leave enough time to
+complete most work."""
+
+MAX_STEADY_S = 7.0
+"""Upper bound on the uptime that is required of a steady upstream, in seconds: work
+with a due time cannot wait longer."""
 
 RECENT_S = 30.0
-"""Ends that are older tell nothing of an upstream."""
+"""Age in seconds after which a crash is ignored."""
 
-_MOST_KEPT = 64
-"""Short lives of a service that are kept, the last ones."""
+_MAX_CRASHES = 64
+"""Crashes after short uptimes that are kept per service."""
 
 
 @attrs.frozen
-class _Life:
-    """A life that has ended.
+class _ShortUptime:
+    """An incarnation that crashed soon after its start.
 
     Attributes:
-      ended_at: In seconds of this instance's clock.
-      lasted_s: How long it was, at most ``SHORT_LIFE_S``.
+      ended_at: Time of the crash, in seconds of this instance's clock.
+      uptime_s: Its uptime, at most ``SHORT_UPTIME_S``.
     """
 
     ended_at: float
-    lasted_s: float
+    uptime_s: float
 
 
-class Steadiness:
-    """Short lives by service.
+class FlapDamping:
+    """Recent short uptimes by service.
 
-    Its upstreams run the same, and most are back under other ids and addresses.
+    They are kept per service, since its upstreams run the same software and most come
+    back under other ids and addresses.
     """
 
     def __init__(self) -> None:
-        self._lives: dict[str, list[_Life]] = {}
+        self._short_uptimes: dict[str, list[_ShortUptime]] = {}
 
-    def begin(self, state: UpstreamState, at: float) -> None:
-        """Notes that a life has begun.
+    def record_start(self, state: UpstreamState, at: float) -> None:
+        """Records the start of an incarnation.
 
         Args:
           state: The upstream.
-          at: When, in seconds of this instance's clock.
+          at: Time of the start, in seconds of this instance's clock.
         """
-        state.since = at
-        state.among_short = bool(self._recent(state))
+        state.started_at = at
+        state.service_flaps = bool(self._recent_uptimes(state))
         state.steady_from = self._steady_from(state)
 
-    def record_crash(self, state: UpstreamState, end: End, *, run_began: float) -> None:
-        """Notes an end, which several may tell of, and some notice late.
+    def record_crash(
+        self, state: UpstreamState, end: End, *, attempt_began: float
+    ) -> None:
+        """Records a crash; duplicate and late reports are ignored.
 
         Args:
           state: The upstream.
-          end: Its end.
-          run_began: When a run began that met it.
+          end: The crash.
+          attempt_began: Start of an attempt that it interrupted, in seconds of this
+            instance's clock.
         """
         at = end.at
-        if run_began <= state.ended_at or at < state.ended_at + SAME_END_S:
-            return  # It is known, or older than what is.
+        if attempt_began <= state.crashed_at or at < state.crashed_at + SAME_END_S:
+            return  # Known already, or older than the known one.
         if state.upstream.is_same_incarnation(end.born_ms) is False:
-            # Of which the start is no longer known: the next life is listed already.
+            # Of an earlier incarnation, whose start is no longer known.
             return
-        # Judged by the lives before: a request may be the cause of this one's end.
-        state.among_short = bool(self._recent(state))
-        state.ended_steady = at >= state.steady_from or not state.among_short
-        self._keep(state, _Life(at, at - state.since))
-        # The list may lag, or tell of no other life.
-        state.before_end = (state.since, state.steady_from)
-        state.ended_at = state.since = at
+        # Judged by earlier incarnations: a request may have caused this crash.
+        state.service_flaps = bool(self._recent_uptimes(state))
+        state.steady_at_crash = at >= state.steady_from or not state.service_flaps
+        self._keep(state, _ShortUptime(at, at - state.started_at))
+        # The list may lag, or may not show the restart at all.
+        state.before_crash = (state.started_at, state.steady_from)
+        state.crashed_at = state.started_at = at
         state.steady_from = max(state.steady_from, self._steady_from(state))
 
     def retract_crash(self, state: UpstreamState) -> None:
-        """Notes that an upstream that seemed to have ended last lives on."""
-        if state.since == state.ended_at > float("-inf"):
-            state.since, state.steady_from = state.before_end
-            lives = self._lives.get(state.upstream.service, [])
-            lives[:] = [life for life in lives if life.ended_at != state.ended_at]
-            state.ended_at = float("-inf")
+        """Retracts the last crash, a false positive."""
+        if state.started_at == state.crashed_at > float("-inf"):
+            state.started_at, state.steady_from = state.before_crash
+            uptimes = self._short_uptimes.get(state.upstream.service, [])
+            uptimes[:] = [one for one in uptimes if one.ended_at != state.crashed_at]
+            state.crashed_at = float("-inf")
 
-    def note_gone(self, state: UpstreamState, now: float | None) -> None:
-        """Notes the end of one that the list shows no longer, if nobody found it.
+    def record_gone(self, state: UpstreamState, now: float | None) -> None:
+        """Records that an incarnation is no longer listed; it may have crashed unseen.
 
         Args:
           state: The upstream.
           now: Seconds on this instance's clock; None if unknown.
         """
         planned = state.upstream.draining
-        if now is not None and not planned and state.since > state.ended_at:
-            self._keep(state, _Life(now, now - state.since))
+        if now is not None and not planned and state.started_at > state.crashed_at:
+            self._keep(state, _ShortUptime(now, now - state.started_at))
 
-    def _keep(self, state: UpstreamState, life: _Life) -> None:
-        if life.lasted_s > SHORT_LIFE_S:
+    def _keep(self, state: UpstreamState, uptime: _ShortUptime) -> None:
+        if uptime.uptime_s > SHORT_UPTIME_S:
             return
-        known = self._lives.setdefault(state.upstream.service, [])
-        known.append(life)
-        del known[:-_MOST_KEPT]
+        known = self._short_uptimes.setdefault(state.upstream.service, [])
+        known.append(uptime)
+        del known[:-_MAX_CRASHES]
 
-    def _recent(self, state: UpstreamState) -> list[float]:
-        """Returns how long short lives lasted of late, by when this one began."""
+    def _recent_uptimes(self, state: UpstreamState) -> list[float]:
+        """Returns the service's short uptimes that were recent at this one's start."""
         return [
-            life.lasted_s
-            for life in self._lives.get(state.upstream.service, ())
-            if state.since - life.ended_at < RECENT_S
+            one.uptime_s
+            for one in self._short_uptimes.get(state.upstream.service, ())
+            if state.started_at - one.ended_at < RECENT_S
         ]
 
     def _steady_from(self, state: UpstreamState) -> float:
-        longest_s = OUTLIVED * max(self._recent(state), default=0.0)
-        return state.since + min(MOST_STEADY_S, max(STEADY_S, longest_s))
+        longest_s = UPTIME_MARGIN * max(self._recent_uptimes(state), default=0.0)
+        return state.started_at + min(MAX_STEADY_S, max(STEADY_S, longest_s))
--- a/src/coppercleat/serving/_peers.py
+++ b/src/coppercleat/serving/_peers.py
@@ -477,7 +477,7 @@
 
     def _own_work(self) -> WorkInFlight:
         return WorkInFlight(
-            tuple(self.placement.own()),
+            tuple(self.placement.own_in_flight()),
             self.waiting(),
             self.placement.demand.own_rates(now=trio.current_time()),
         )
--- a/src/coppercleat/serving/_placement.py
+++ b/src/coppercleat/serving/_placement.py
@@ -1,4 +1,4 @@
-"""Which upstream takes the next request, from what all instances have in flight."""
+"""Chooses an upstream for each request from the work in flight of all instances."""
 
 from __future__ import annotations
 
@@ -10,54 +10,56 @@
 from coppercleat.ids import InstanceId, UpstreamId, ZoneId
 from coppercleat.quarantine import End, Verdict
 from coppercleat.serving._demand import Demand
-from coppercleat.serving._flap_damping import STEADY_S, Steadiness
+from coppercleat.serving._flap_damping import STEADY_S, FlapDamping
 from coppercleat.serving._model import Route, Target, Upstream
 from coppercleat.serving._peer_queues import PeerQueues
 from coppercleat.serving._upstream_state import UpstreamState
 from coppercleat.serving._work_counts import InFlight, WorkCounts
 
 OTHER_ZONE_LOAD = 1.5
-"""Price of another availability zone, in requests in flight: the way there is a
-millisecond longer and its bytes cost money, a full upstream costs far more."""
+"""Cost of another availability zone, in requests in flight: its latency is a
+millisecond higher and its traffic is paid for, but a full upstream costs more."""
 
 LARGE_FLEET_ZONE_LOAD = 6.0
-FAR_RESERVE = 2
-"""The same in a fleet whose zones tell each other of their work as a whole, and slots
-that batch leaves there: counts are up to 0.3 s old, and all who see the same free slot
-would take it. A zone's own instances use it at once."""
+"""The same in a large fleet, whose zones exchange aggregated counts."""
+
+REMOTE_ZONE_RESERVE = 2
+"""Slots per upstream of another zone that batch leaves free in a large fleet: the
+aggregated counts lag, and all instances that see a free slot would take it."""
 
 TIE_LOAD = 0.5
-"""Random load added when upstreams are compared, so that instances which see
-the same counts do not all choose the same one."""
+"""Largest random load that is added when upstreams are compared, so that instances
+with the same counts choose different ones."""
 
 FULL_S = 0.1
-"""An upstream that refused as full gets no online request for so long: a slot of a
-full one frees in about this time, and asking again before costs a connection."""
+"""Seconds without online requests for an upstream that refused one as full: about the
+time until one of its slots is released."""
 
-RESTART_S = 0.1
-"""Batch leaves as many slots free as online requests come in this time: an item that
-is cut sooner has cost a connection and its prompt, and made next to nothing."""
+HEADROOM_S = 0.1
+"""Batch leaves as many slots free as online requests arrive in this time, in seconds;
+an item that is preempted sooner has made next to no progress."""
 
 SUSPECT_LOAD = 8.0
-"""Load by which an upstream that seems to fail a part of its requests is taken to be
-fuller than it is, in requests of eight slots: batch uses it last."""
+"""Load that is added to an upstream suspected of failing some requests, scaled to
+eight slots: batch uses it last."""
 
-_SLOT_FREE, _SLOT_CUT, _SUSPECT, _SLOT_QUEUED = range(4)
-"""A slot is free; a batch item will be cut for it, which takes some 5 ms; there is
-one, but the upstream seems to fail a part of its requests, or may run some that are not
-known yet; or online requests hold all slots, and one must end."""
+_SLOT_FREE, _SLOT_PREEMPTIBLE, _SLOT_SUSPECT, _SLOT_QUEUED = range(4)
+"""Cost ranks of an upstream for online requests: a slot is free; a batch item must be
+preempted for it; the upstream may fail the request or run untracked requests; online
+requests hold all slots."""
 
 
 class AttemptResults(msgspec.Struct, frozen=True, array_like=True):
-    """How attempts of one instance at one upstream ended since it last told.
+    """Results of one instance's attempts at one upstream since its last report.
 
     Attributes:
-      well: Attempts that ended well.
+      upstream: The upstream.
+      succeeded: Attempts that succeeded.
       failed: Attempts that failed.
     """
 
     upstream: UpstreamId
-    well: int
+    succeeded: int
     failed: int
 
 
@@ -65,8 +67,8 @@
     """Sentinel: no upstream can take the request.
 
     Attributes:
-      reason: Why, in words.
-      waits: Whether one could, but others that wait go before.
+      reason: Cause in words.
+      waits: Whether a slot is free, but work queued elsewhere is ahead.
     """
 
     reason: str
@@ -78,12 +80,13 @@
 
     Attributes:
       zone: This instance's availability zone.
-      states: By upstream id.
-      peers: Work in flight of instances that are told of one by one.
-      zones: Work in flight of whole other availability zones, in a large fleet.
-      peer_queues: What waits for a slot at other instances.
-      demand: How fast online requests come.
-      steadiness: Which upstreams end again and again.
+      states: Upstreams by id.
+      rng: Source of randomness for tie-breaking and the choice of services.
+      peers: Work in flight of instances that report one by one.
+      zones: Aggregated work in flight of the other zones of a large fleet.
+      peer_queues: Work that is queued at other instances.
+      demand: Arrival rates and service times of online requests.
+      flap_damping: Flap damping of the upstreams.
     """
 
     def __init__(self, zone: ZoneId, *, rng: random.Random) -> None:
@@ -94,29 +97,29 @@
         self.zones: WorkCounts[ZoneId] = WorkCounts()
         self.peer_queues = PeerQueues()
         self.demand = Demand()
-        self.steadiness = Steadiness()
-        self._listed = False
+        self.flap_damping = FlapDamping()
+        self._has_list = False
 
-    # What is known.
+    # State.
 
     def replace(
         self, upstreams: Iterable[Upstream], *, now: float | None = None
     ) -> list[UpstreamId]:
-        """Takes the list of upstreams; returns the ids that are gone.
+        """Replaces the list of upstreams; returns the ids that are no longer listed.
 
         Args:
-          upstreams: All of them.
-          now: Seconds on this instance's clock: what is listed anew starts now. None,
-            and the first list, tell of no start.
+          upstreams: All listed upstreams.
+          now: Seconds on this instance's clock, taken as the start of new
+            incarnations. With None, and for the first list, starts are unknown.
         """
-        started_at = now if self._listed else None
-        self._listed = True
+        started_at = now if self._has_list else None
+        self._has_list = True
         listed = {upstream.id: upstream for upstream in upstreams}
         gone = [known for known in self.states if known not in listed]
         for upstream_id in gone:
             left = self.states.pop(upstream_id)
             left.gone = True
-            self.steadiness.note_gone(left, now)
+            self.flap_damping.record_gone(left, now)
         for upstream in listed.values():
             state = self.states.get(upstream.id)
             if (
@@ -124,67 +127,68 @@
                 or state.upstream.is_same_incarnation(upstream.born_ms) is False
             ):
                 if state is not None:
-                    # What was in flight there ended with it; its failures were its own.
+                    # A new incarnation: counts and failures of the old one are void.
                     state.gone = state.restarted = True
-                    self.steadiness.note_gone(state, now)
+                    self.flap_damping.record_gone(state, now)
                 self.states[upstream.id] = UpstreamState(upstream)
                 if started_at is not None:
-                    self.steadiness.begin(self.states[upstream.id], started_at)
+                    self.flap_damping.record_start(self.states[upstream.id], started_at)
             else:
-                state.listed(upstream)
+                state.update_listing(upstream)
         return gone
 
-    def record_crash(self, end: End, run_began: float) -> None:
-        """Notes that an upstream has ended, as found here or told by others.
+    def record_crash(self, end: End, attempt_began: float) -> None:
+        """Records a crash, detected here or reported by a peer.
 
         Args:
-          end: Its end.
-          run_began: When a run began that met it.
+          end: The crash.
+          attempt_began: Start of an attempt that it interrupted, in seconds of this
+            instance's clock.
         """
         state = self.states.get(end.upstream)
         if state is not None:
-            self.steadiness.record_crash(state, end, run_began=run_began)
+            self.flap_damping.record_crash(state, end, attempt_began=attempt_began)
 
     def retract_crash(self, end: End) -> None:
-        """Notes that an upstream that seemed to have ended lives on."""
+        """Retracts a crash that turned out to be a false positive."""
         state = self.states.get(end.upstream)
         if state is not None:
-            self.steadiness.retract_crash(state)
+            self.flap_damping.retract_crash(state)
 
     def observe_results(self, results: Iterable[AttemptResults], *, now: float) -> None:
-        """Takes how a peer's attempts ended."""
+        """Adds the results of a peer's attempts."""
         for of_upstream in results:
             state = self.states.get(of_upstream.upstream)
             if state is not None:
-                well, failed = of_upstream.well, of_upstream.failed
-                state.results.observe_peer(well=well, failed=failed, now=now)
+                succeeded, failed = of_upstream.succeeded, of_upstream.failed
+                state.results.observe_peer(succeeded=succeeded, failed=failed, now=now)
 
     def take_unreported_results(self) -> list[AttemptResults]:
-        """Returns how own attempts ended since the last call, to be told to peers."""
+        """Returns results of own attempts since the last call, to report to peers."""
         found = []
         for state in self.states.values():
-            well, failed = state.results.take_unreported()
-            if well or failed:
-                found.append(AttemptResults(state.id, well, failed))
+            succeeded, failed = state.results.take_unreported()
+            if succeeded or failed:
+                found.append(AttemptResults(state.id, succeeded, failed))
         return found
 
     def suspects(self, now: float) -> list[UpstreamId]:
-        """Returns upstreams that seem to fail a part of their requests."""
+        """Returns upstreams suspected of failing some of their requests."""
         return [s.id for s in self.states.values() if s.results.suspect(now)]
 
-    def own(self) -> list[InFlight]:
-        """Returns what this instance has in flight, to be told to peers."""
+    def own_in_flight(self) -> list[InFlight]:
+        """Returns this instance's work in flight, to report to peers."""
         return [
-            # Peers cannot have a held slot cut free, as little as an online request's.
-            InFlight(state.id, state.online + state.held, state.batch)
+            # Peers cannot preempt abandoned attempts, so they count as online.
+            InFlight(state.id, state.online + state.abandoned_in_flight, state.batch)
             for state in self.states.values()
-            if state.online or state.batch or state.held
+            if state.online or state.batch or state.abandoned_in_flight
         ]
 
     def own_zone_in_flight(self) -> list[InFlight]:
-        """Returns what this instance and its peers have in flight together."""
+        """Returns the work in flight of this instance and the peers of its zone."""
         found = self.peers.summed()
-        for own in self.own():
+        for own in self.own_in_flight():
             peers = found.get(own.upstream, InFlight(own.upstream, 0, 0))
             found[own.upstream] = InFlight(
                 own.upstream, own.online + peers.online, own.batch + peers.batch
@@ -192,33 +196,33 @@
         return list(found.values())
 
     def load(self, state: UpstreamState) -> int:
-        """Returns all that an upstream has to do."""
+        """Returns all requests at an upstream, untracked ones included."""
         return self.known_load(state) + state.untracked
 
     def known_load(self, state: UpstreamState) -> int:
-        """Returns all that is in flight at an upstream, of all instances."""
-        told = self.peers.load(state.id) + self.zones.load(state.id)
-        return state.online + state.batch + told
+        """Returns the requests that any instance has in flight at an upstream."""
+        reported = self.peers.load(state.id) + self.zones.load(state.id)
+        return state.online + state.batch + reported
 
     def free_slots(self, state: UpstreamState) -> int:
-        """Returns slots that nobody is known to use; negative if overfull."""
+        """Returns the unused slots of an upstream; negative if requests queue there."""
         return state.upstream.slots - self.load(state)
 
     def online_slots(self, state: UpstreamState) -> int:
-        """Returns slots that online requests do not hold; batch gives them up."""
-        told = self.peers.online(state.id) + self.zones.online(state.id)
-        return state.upstream.slots - state.online - told - state.untracked
+        """Returns the slots that online requests do not hold; batch yields its own."""
+        reported = self.peers.online(state.id) + self.zones.online(state.id)
+        return state.upstream.slots - state.online - reported - state.untracked
 
     # Decisions.
 
     def choose_online(
         self, service: str, *, tried: Collection[UpstreamId], now: float
     ) -> UpstreamState | NoUpstreamAvailable:
-        """Chooses for an online request: a free slot, else one that batch gives up.
+        """Chooses for an online request: a free slot, else one that batch yields.
 
         Args:
-          service: The service that takes the request.
-          tried: Upstreams not to be tried again.
+          service: Service of the request.
+          tried: Upstreams to exclude.
           now: Seconds on this instance's clock.
         """
         serving = self._online_candidates(service, tried, now)
@@ -227,21 +231,21 @@
         return min(serving, key=lambda state: self._online_cost(state, now))
 
     def serves(self, service: str, *, avoid: Collection[UpstreamId]) -> bool:
-        """Returns whether a service has any upstream that is not leaving."""
+        """Returns whether a service has an upstream that is not draining."""
         return any(state.id not in avoid for state in self._usable(service))
 
     def upstreams_to_avoid(
         self, verdict: Verdict, service: str, *, now: float
     ) -> set[UpstreamId]:
-        """Returns upstreams to which a request is not to be sent after ends under it.
+        """Returns unsteady upstreams to avoid for a request under which some crashed.
 
-        They have just started, or end again and again: if they end under it as well,
-        nobody knows for what. If it need not be wary it goes there if nothing else is
-        left.
+        If an upstream that has just started or is flapping crashed under the request
+        too, the cause would be unclear. Unless the verdict requires steady upstreams,
+        they are used if no other can be tried.
 
         Args:
-          verdict: On the request.
-          service: The service that takes it.
+          verdict: Verdict on the request.
+          service: Service of the request.
           now: Seconds on this instance's clock.
         """
         if not verdict.ends:
@@ -254,9 +258,9 @@
         return set()
 
     def steady_in_s(self, service: str, *, now: float) -> float:
-        """Returns in how many seconds a service has a steady upstream, if none ends."""
-        waits = (max(0.0, s.steady_from - now) for s in self._usable(service))
-        return min(waits, default=STEADY_S)
+        """Returns seconds until a service has a steady upstream, if none crashes."""
+        delays = (max(0.0, s.steady_from - now) for s in self._usable(service))
+        return min(delays, default=STEADY_S)
 
     def open_slots(
         self, service: str, *, avoid: Collection[UpstreamId], now: float
@@ -264,8 +268,8 @@
         """Returns how many slots online requests could take now.
 
         Args:
-          service: The service that takes the request.
-          avoid: Upstreams not to be counted.
+          service: Service of the requests.
+          avoid: Upstreams to exclude.
           now: Seconds on this instance's clock.
         """
         serving = self._online_candidates(service, avoid, now)
@@ -274,10 +278,10 @@
     def choose_open_slot(
         self, service: str, number: int, *, avoid: Collection[UpstreamId], now: float
     ) -> UpstreamState:
-        """Returns the upstream of the open slot with a number, from 0.
+        """Returns the upstream of an open slot, given the slot's number from 0.
 
-        Instances that see the same counts number the slots alike, so that requests of
-        different instances take different ones.
+        Instances with the same counts number the slots alike, so that requests of
+        different instances take different slots.
         """
         slots = [
             (k, state.id, state)
@@ -307,16 +311,17 @@
 
         Args:
           route: The job's route.
-          reserve: Slots at each upstream that are kept for online requests.
-          avoid: Upstreams not to be used now.
+          reserve: Slots per upstream that are kept for online requests.
+          avoid: Upstreams to exclude; their free slots do not count.
           now: Seconds on this instance's clock.
-          ahead: How many others wait for a slot before the item.
-          ineligible: Upstreams whose slots are free for others, and not for this item.
-          last_resort: Upstreams that it takes only if there is no other.
+          ahead: Requests and items queued ahead of the item.
+          ineligible: Upstreams that the item must not use, although their free slots
+            count for those ahead of it.
+          last_resort: Upstreams to use only if there is no other.
         """
         service = self.draw_service(route.targets)
         free = {
-            state.id: self.free_slots(state) - reserve - self._far_reserve(state)
+            state.id: self.free_slots(state) - reserve - self._remote_reserve(state)
             for state in self._usable(service)
             if state.id not in avoid
             and state.health.may_try(now)
@@ -328,10 +333,12 @@
         left = sum(free.values()) - self._online_headroom(service, now)
         if left <= 0:
             return NoUpstreamAvailable(
-                f"online requests will take what is free at {service}"
+                f"free slots of {service} are reserved for online requests"
             )
         if left <= ahead:
-            return NoUpstreamAvailable(f"{ahead} wait before at {service}", waits=True)
+            return NoUpstreamAvailable(
+                f"{ahead} are queued ahead at {service}", waits=True
+            )
         states = [
             self.states[upstream] for upstream in free if upstream not in ineligible
         ]
@@ -343,29 +350,29 @@
         return min(states, key=lambda state: self._batch_cost(state, now))
 
     def _online_headroom(self, service: str, now: float) -> int:
-        """Returns the free slots that online requests take before an item pays off.
+        """Returns the free slots that batch leaves to arriving online requests.
 
-        Calls that are shorter than that hold a slot for their own time only.
+        Requests shorter than ``HEADROOM_S`` hold a slot for their service time only.
         """
-        held_s = min(RESTART_S, self.demand.for_service(service).service_time_s)
+        held_s = min(HEADROOM_S, self.demand.for_service(service).service_time_s)
         return int(self.demand.fleet_rate(service, now=now) * held_s)
 
     def should_preempt(self, state: UpstreamState, instance: InstanceId) -> bool:
-        """Returns whether this instance is the one to cut an item at an upstream.
+        """Returns whether this instance is the one to preempt an item at an upstream.
 
-        It has the most items there of its availability zone, and its zone of all
-        zones; so that one instance cuts, not all that see the same counts.
+        That is the instance with the most items there in the zone with the most, so
+        that only one of those with the same counts preempts.
         """
         own = (state.batch, instance)
-        peers = self.peers.batch_by_teller(state.id)
+        peers = self.peers.batch_by_reporter(state.id)
         if any((count, peer) > own for peer, count in peers.items()):
             return False
         own_zone = (state.batch + self.peers.batch(state.id), self.zone)
-        zones = self.zones.batch_by_teller(state.id)
+        zones = self.zones.batch_by_reporter(state.id)
         return not any((count, zone) > own_zone for zone, count in zones.items())
 
     def _usable(self, service: str) -> Iterator[UpstreamState]:
-        """Yields upstreams of a service that are not leaving."""
+        """Yields the listed upstreams of a service that are not draining."""
         for state in self.states.values():
             if state.upstream.service != service or state.gone:
                 continue
@@ -375,7 +382,7 @@
     def _online_candidates(
         self, service: str, avoid: Collection[UpstreamId], now: float
     ) -> list[UpstreamState]:
-        """Returns upstreams that may be tried; all of them if none may."""
+        """Returns upstreams that are not ejected, or all of them if all are."""
         serving = [s for s in self._usable(service) if s.id not in avoid]
         return [s for s in serving if s.health.may_try(now)] or serving
 
@@ -385,7 +392,7 @@
         return max(0, self.online_slots(state))
 
     def draw_service(self, targets: tuple[Target, ...]) -> str:
-        """Draws one of a route's services by weight."""
+        """Picks one of a route's services at random, by weight."""
         if len(targets) == 1:
             return targets[0].service
         weights = [target.weight for target in targets]
@@ -394,39 +401,40 @@
         return self.rng.choices(targets, weights)[0].service
 
     def _online_cost(self, state: UpstreamState, now: float) -> tuple[int, float]:
-        """Returns how soon a slot is there, then how full the upstream is."""
-        rank = _SLOT_CUT if self._told_late(state) else _SLOT_FREE
+        """Returns the cost rank of an upstream's next slot, then its load."""
+        rank = _SLOT_PREEMPTIBLE if self._has_aggregated_counts(state) else _SLOT_FREE
         if self.free_slots(state) <= 0:
-            rank = _SLOT_CUT if self._may_cut(state) else _SLOT_QUEUED
-        if self._doubtful(state, now):
-            rank = max(rank, _SUSPECT)
+            rank = _SLOT_PREEMPTIBLE if self._may_preempt(state) else _SLOT_QUEUED
+        if self._is_suspect(state, now):
+            rank = max(rank, _SLOT_SUSPECT)
         return rank, self._load_cost(state)
 
-    def _may_cut(self, state: UpstreamState) -> bool:
-        """Returns whether an item of any instance can be cut for a free slot."""
-        told = self.peers.batch(state.id) + self.zones.batch(state.id)
-        return state.batch + told > 0 and self.online_slots(state) > 0
+    def _may_preempt(self, state: UpstreamState) -> bool:
+        """Returns whether an item of any instance can be preempted for a slot."""
+        reported = self.peers.batch(state.id) + self.zones.batch(state.id)
+        return state.batch + reported > 0 and self.online_slots(state) > 0
 
     def _batch_cost(self, state: UpstreamState, now: float) -> float:
-        doubtful = self._doubtful(state, now)
-        return self._load_cost(state) + (SUSPECT_LOAD if doubtful else 0.0)
+        suspect = self._is_suspect(state, now)
+        return self._load_cost(state) + (SUSPECT_LOAD if suspect else 0.0)
 
-    def _doubtful(self, state: UpstreamState, now: float) -> bool:
-        """Returns whether a slot that seems free there may be worth less."""
+    def _is_suspect(self, state: UpstreamState, now: float) -> bool:
+        """Returns whether the upstream may fail requests or run untracked ones."""
         return state.results.suspect(now) or now < state.unverified_until
 
     def _load_cost(self, state: UpstreamState) -> float:
+        """Returns the load scaled to eight slots, with tie-breaking and zone cost."""
         cost = self.load(state) / max(1, state.upstream.slots) * 8
         cost += self.rng.random() * TIE_LOAD
-        if self._told_late(state):
+        if self._has_aggregated_counts(state):
             cost += LARGE_FLEET_ZONE_LOAD
         elif state.upstream.zone != self.zone:
             cost += OTHER_ZONE_LOAD
         return cost
 
-    def _told_late(self, state: UpstreamState) -> bool:
-        """Returns whether the counts of an upstream's own zone come as a whole."""
+    def _has_aggregated_counts(self, state: UpstreamState) -> bool:
+        """Returns whether the upstream's zone reports its work in flight as a whole."""
         return state.upstream.zone != self.zone and bool(self.zones.reporters())
 
-    def _far_reserve(self, state: UpstreamState) -> int:
-        return FAR_RESERVE if self._told_late(state) else 0
+    def _remote_reserve(self, state: UpstreamState) -> int:
+        return REMOTE_ZONE_RESERVE if self._has_aggregated_counts(state) else 0
--- a/src/coppercleat/serving/_results.py
+++ b/src/coppercleat/serving/_results.py
@@ -1,63 +1,68 @@
-"""How recent attempts at one upstream ended, here and at other instances.
+"""Recent results of attempts at one upstream, of this instance and its peers.
 
-A breaker of failures in a row (``routing.Health``) finds an upstream that is down. One
-that fails a part of its requests, while its health checks pass, shows only in the
-share of attempts that fail.
+The circuit breaker (``routing.Health``) ejects an upstream after consecutive failures.
+One that fails only some of its requests, while its health checks pass, is found by its
+failure rate.
 """
 
 from __future__ import annotations
 
 HALF_LIFE_S = 4.0
-"""An attempt counts half after this time: long enough that some requests a second
-show a share, short enough that an upstream that is well again is soon used."""
+"""Half-life of a result's weight, in seconds: long enough to estimate the failure rate
+at a few requests per second, short enough for a fast recovery."""
 
 SUSPECT_FAILURES = 1.5
-"""Fewer recent failures prove nothing: two of them, the older a little faded."""
+"""Weighted failures below which an upstream is not suspected: about two recent ones."""
 
 SUSPECT_SHARE = 0.15
-"""Sound upstreams were seen to break off 2 to 3 attempts in 100, partly failing ones
-20 to 50."""
+"""Failure rate from which an upstream is suspected; a healthy one stays below 0.03."""
 
 
 class RecentResults:
-    """Attempts that ended well or failed, fading with time; the clock is passed in."""
+    """Exponentially decaying counts of results; the clock is passed in."""
 
-    __slots__ = ("_failed", "_faded_at", "_untold_failed", "_untold_well", "_well")
+    __slots__ = (
+        "_failed",
+        "_decayed_at",
+        "_unreported_failed",
+        "_unreported_succeeded",
+        "_succeeded",
+    )
 
     def __init__(self) -> None:
-        self._well = 0.0
+        self._succeeded = 0.0
         self._failed = 0.0
-        self._faded_at = 0.0
-        self._untold_well = 0
-        self._untold_failed = 0
+        self._decayed_at = 0.0
+        self._unreported_succeeded = 0
+        self._unreported_failed = 0
 
     def observe(self, *, failed: bool, now: float) -> None:
-        """Takes an attempt of this instance."""
-        self.observe_peer(well=int(not failed), failed=int(failed), now=now)
-        self._untold_well += not failed
-        self._untold_failed += failed
-
-    def observe_peer(self, *, well: int, failed: int, now: float) -> None:
-        """Takes attempts that another instance has told of."""
-        self._fade(now)
-        self._well += well
+        """Adds the result of an attempt of this instance."""
+        self.observe_peer(succeeded=int(not failed), failed=int(failed), now=now)
+        self._unreported_succeeded += not failed
+        self._unreported_failed += failed
+
+    def observe_peer(self, *, succeeded: int, failed: int, now: float) -> None:
+        """Adds the results of attempts that a peer has reported."""
+        self._decay(now)
+        self._succeeded += succeeded
         self._failed += failed
 
     def take_unreported(self) -> tuple[int, int]:
-        """Returns how many ended well and failed here since the last call."""
-        told = self._untold_well, self._untold_failed
-        self._untold_well = self._untold_failed = 0
-        return told
+        """Returns own attempts that succeeded and that failed since the last call."""
+        unreported = self._unreported_succeeded, self._unreported_failed
+        self._unreported_succeeded = self._unreported_failed = 0
+        return unreported
 
     def suspect(self, now: float) -> bool:
-        """Returns whether the upstream seems to fail a part of its requests."""
-        self._fade(now)
+        """Returns whether the upstream seems to fail some of its requests."""
+        self._decay(now)
         if self._failed < SUSPECT_FAILURES:
             return False
-        return self._failed >= SUSPECT_SHARE * (self._failed + self._well)
+        return self._failed >= SUSPECT_SHARE * (self._failed + self._succeeded)
 
-    def _fade(self, now: float) -> None:
-        left = 0.5 ** (max(0.0, now - self._faded_at) / HALF_LIFE_S)
-        self._well *= left
-        self._failed *= left
-        self._faded_at = now
+    def _decay(self, now: float) -> None:
+        factor = 0.5 ** (max(0.0, now - self._decayed_at) / HALF_LIFE_S)
+        self._succeeded *= factor
+        self._failed *= factor
+        self._decayed_at = now
--- a/src/coppercleat/serving/_upstream_state.py
+++ b/src/coppercleat/serving/_upstream_state.py
@@ -1,4 +1,4 @@
-"""What one instance knows of one life of an upstream."""
+"""State that one instance keeps of one incarnation of an upstream."""
 
 from __future__ import annotations
 
@@ -11,63 +11,66 @@
 from coppercleat.serving._results import RecentResults
 from coppercleat.serving._silent_moments import SilentMoments
 
-LONGEST_EJECTION_S = 2.0
-"""Longest time without a trial of an upstream that failed. A trial costs one request
-the 0.1 s of a connection that is not made; after a zone was cut off for some seconds,
-longer pauses would leave its upstreams idle for as long again."""
+MAX_EJECTION_S = 2.0
+"""Longest ejection, in seconds. A trial costs one request a failed connection, while a
+long ejection leaves upstreams idle after a network partition has healed."""
 
-_LISTS_WITH_GONE = 8
-"""Lists that may still show an upstream that has left, some 4 s. One that goes on to be
-shown was not gone: what answered in its place was wrong."""
+_MAX_LISTINGS_WHILE_GONE = 8
+"""Lists that may still show an upstream that has left. If it is listed longer, the
+reply that seemed to come from another upstream at its address was wrong."""
 
 
 @attrs.define(eq=False)
 class UpstreamState:
-    """One upstream as this instance sees it.
+    """One incarnation of an upstream, as this instance sees it.
+
+    All times are in seconds of this instance's clock.
 
     Attributes:
+      upstream: The upstream as last listed.
+      health: Circuit breaker; ejects the upstream while all attempts fail.
+      results: Recent attempts; show whether the upstream fails some of them.
+      silences: Onsets of recent stalls that count against the upstream.
       online: Online requests of this instance in flight there.
       batch: Batch items of this instance in flight there.
-      gone: Whether it has been found to have left, before the list shows it.
-      lists_since: How many lists have shown it since.
-      restarted: Whether it has started again under its id, which is another state.
-      health: Ejects it while it fails throughout.
-      results: Tells whether it fails a part of its requests.
-      silences: When it fell silent, as far as that is held against it.
-      untracked: Requests that it runs and nobody has told of, by its own report.
-      abandoned: Own runs that were left unheard since there was an unknown run last;
-        peers are told of as many unknown ones, and hold their slots for taken too.
-      full_until: Until when it is taken as full, since it has said so.
-      unverified_until: Until when it may run requests of before this instance's start;
-        never, once it has told how many it runs.
-      since: When this life of it began, as seen here; minus infinity if unknown.
-      ended_at: When it was last found to have ended under this id.
-      steady_from: From when on it counts as steady: see ``Steadiness``.
-      among_short: Whether lives of its service were short of late: only then does it
-        say something that it has just started.
-      ended_steady: Whether it was steady, or no life short, when it last ended.
-      before_end: ``since`` and ``steady_from`` as they were before that.
+      gone: Whether it was found to have left, possibly before the list shows it.
+      listings_while_gone: Number of lists that have shown it since.
+      restarted: Whether a newer incarnation, with its own state, has replaced it.
+      untracked: Untracked requests: it reports that it runs them, but no instance has
+        them in flight.
+      abandoned: Own attempts abandoned since the last time nothing was untracked. As
+        many untracked requests are reported to peers as in flight.
+      full_until: End of the backoff after it refused a request as full.
+      unverified_until: Until when it may run requests from before this instance's
+        start; minus infinity once it has reported its load.
+      started_at: Start of this incarnation, as seen here; minus infinity if unknown.
+      crashed_at: Time of its last crash under this id.
+      steady_from: When it becomes steady; see ``FlapDamping``.
+      service_flaps: Whether upstreams of its service recently crashed soon after their
+        start. Only then is it unsteady after its own start.
+      steady_at_crash: Whether it counted as steady when it last crashed.
+      before_crash: ``started_at`` and ``steady_from`` from before its last crash.
     """
 
     upstream: Upstream
-    health: Health = attrs.field(factory=lambda: Health(longest_s=LONGEST_EJECTION_S))
+    health: Health = attrs.field(factory=lambda: Health(longest_s=MAX_EJECTION_S))
     results: RecentResults = attrs.field(factory=RecentResults)
     silences: SilentMoments = attrs.field(factory=SilentMoments)
     online: int = 0
     batch: int = 0
     gone: bool = False
-    lists_since: int = 0
+    listings_while_gone: int = 0
     restarted: bool = False
     untracked: int = 0
     abandoned: int = 0
     full_until: float = float("-inf")
     unverified_until: float = float("-inf")
-    since: float = float("-inf")
-    ended_at: float = float("-inf")
+    started_at: float = float("-inf")
+    crashed_at: float = float("-inf")
     steady_from: float = float("-inf")
-    among_short: bool = False
-    ended_steady: bool = True
-    before_end: tuple[float, float] = (float("-inf"), float("-inf"))
+    service_flaps: bool = False
+    steady_at_crash: bool = True
+    before_crash: tuple[float, float] = (float("-inf"), float("-inf"))
 
     @property
     def id(self) -> UpstreamId:
@@ -81,47 +84,52 @@
 
     @property
     def unlisted(self) -> bool:
-        """Whether it is no longer listed, and has not said that it leaves."""
+        """Whether it has left without having announced it."""
         return self.gone and not self.restarted and not self.upstream.draining
 
     @property
     def stopping(self) -> bool:
-        """Whether it leaves, or has left, as planned."""
+        """Whether it is draining, or has left without a restart."""
         return self.upstream.draining or (self.gone and not self.restarted)
 
-    def listed(self, upstream: Upstream) -> None:
-        """Takes its line of a list that shows this life."""
+    def update_listing(self, upstream: Upstream) -> None:
+        """Takes over a new listing of this incarnation."""
         moved = upstream.address != self.upstream.address
         self.upstream = upstream
-        self.lists_since = self.lists_since + 1 if self.gone else 0
-        if moved or self.lists_since > _LISTS_WITH_GONE:
+        self.listings_while_gone = self.listings_while_gone + 1 if self.gone else 0
+        if moved or self.listings_while_gone > _MAX_LISTINGS_WHILE_GONE:
             self.gone = False
 
     def was_steady(self, *, began: float, at: float) -> bool:
-        """Returns whether it was steady when it ended under a run.
+        """Returns whether it was steady when it crashed during an attempt.
 
-        The end may be known already, of another run, or noticed late.
+        The crash may already be known from another attempt.
 
         Args:
-          began: When the run began, in trio's time.
-          at: When it broke off.
+          began: Start of the attempt.
+          at: When the attempt was interrupted.
         """
-        if began <= self.ended_at or at - self.ended_at < SAME_END_S:
-            return self.ended_steady
-        return at >= self.steady_from or not self.among_short
+        if began <= self.crashed_at or at - self.crashed_at < SAME_END_S:
+            return self.steady_at_crash
+        return at >= self.steady_from or not self.service_flaps
 
     @property
-    def held(self) -> int:
-        """Own runs that were left and may still hold their slots."""
+    def abandoned_in_flight(self) -> int:
+        """Own abandoned attempts that may still hold slots."""
         return min(self.abandoned, self.untracked)
 
     def succeeded(self, now: float) -> None:
-        """Notes an attempt that ended well."""
+        """Records an attempt that succeeded."""
         self.health.succeeded()
         self.results.observe(failed=False, now=now)
 
     def failed(self, now: float, *, reached: bool = True) -> None:
-        """Notes an attempt that failed, or a connection that could not be made."""
-        note = self.health.failed if reached else self.health.unreachable
-        note(now)
+        """Records an attempt that failed.
+
+        Args:
+          now: Seconds on this instance's clock.
+          reached: Whether a connection was made.
+        """
+        record = self.health.failed if reached else self.health.unreachable
+        record(now)
         self.results.observe(failed=True, now=now)
--- a/src/coppercleat/serving/_work_counts.py
+++ b/src/coppercleat/serving/_work_counts.py
@@ -1,4 +1,4 @@
-"""What other instances have in flight at each upstream, with sums kept up to date."""
+"""Work in flight that other instances report for each upstream, with running sums."""
 
 from __future__ import annotations
 
@@ -11,7 +11,13 @@
 
 
 class InFlight(msgspec.Struct, frozen=True, array_like=True):
-    """What an instance, or a whole availability zone, has in flight at an upstream."""
+    """Work in flight of an instance, or of a whole zone, at one upstream.
+
+    Attributes:
+      upstream: The upstream.
+      online: Number of online requests.
+      batch: Number of batch items.
+    """
 
     upstream: UpstreamId
     online: int
@@ -22,60 +28,60 @@
 
 
 class WorkCounts(Generic[_T]):
-    """Counts by who told them; what somebody tells replaces what it told before.
+    """Counts by reporter (an instance or a zone); each report replaces the last one.
 
-    Sums are kept, not computed: they are asked for many times with each placement.
+    Sums over all reporters are kept up to date, since each placement reads many.
     """
 
     def __init__(self) -> None:
-        self._told: dict[_T, dict[UpstreamId, InFlight]] = {}
+        self._reported: dict[_T, dict[UpstreamId, InFlight]] = {}
         self._online: dict[UpstreamId, int] = {}
         self._batch: dict[UpstreamId, int] = {}
 
-    def observe(self, teller: _T, counts: Iterable[InFlight]) -> None:
-        """Takes all that a teller has in flight."""
-        self.forget(teller)
-        told = {count.upstream: count for count in counts}
-        self._told[teller] = told
-        for count in told.values():
+    def observe(self, reporter: _T, counts: Iterable[InFlight]) -> None:
+        """Replaces a reporter's counts."""
+        self.forget(reporter)
+        reported = {count.upstream: count for count in counts}
+        self._reported[reporter] = reported
+        for count in reported.values():
             self._add(count, 1)
 
-    def forget(self, teller: _T) -> None:
-        """Drops what a teller has told."""
-        for count in self._told.pop(teller, {}).values():
+    def forget(self, reporter: _T) -> None:
+        """Drops a reporter's counts."""
+        for count in self._reported.pop(reporter, {}).values():
             self._add(count, -1)
 
     def reporters(self) -> list[_T]:
-        """Returns whose counts are held."""
-        return list(self._told)
+        """Returns the reporters whose counts are held."""
+        return list(self._reported)
 
-    def upstreams_of(self, teller: _T) -> list[UpstreamId]:
-        """Returns the upstreams at which a teller has something in flight."""
-        return list(self._told.get(teller, {}))
+    def upstreams_of(self, reporter: _T) -> list[UpstreamId]:
+        """Returns the upstreams at which a reporter has work in flight."""
+        return list(self._reported.get(reporter, {}))
 
     def online(self, upstream: UpstreamId) -> int:
-        """Returns online requests in flight at an upstream, of all tellers."""
+        """Returns the online requests of all reporters at an upstream."""
         return self._online.get(upstream, 0)
 
     def batch(self, upstream: UpstreamId) -> int:
-        """Returns batch items in flight at an upstream, of all tellers."""
+        """Returns the batch items of all reporters at an upstream."""
         return self._batch.get(upstream, 0)
 
     def load(self, upstream: UpstreamId) -> int:
-        """Returns all that is in flight at an upstream, of all tellers."""
+        """Returns the requests and items of all reporters at an upstream."""
         return self.online(upstream) + self.batch(upstream)
 
-    def batch_by_teller(self, upstream: UpstreamId) -> dict[_T, int]:
-        """Returns how many batch items each teller has at an upstream."""
+    def batch_by_reporter(self, upstream: UpstreamId) -> dict[_T, int]:
+        """Returns the batch items at an upstream by reporter, without zeros."""
         found = {}
-        for teller, counts in self._told.items():
+        for reporter, counts in self._reported.items():
             count = counts.get(upstream)
             if count is not None and count.batch:
-                found[teller] = count.batch
+                found[reporter] = count.batch
         return found
 
     def summed(self) -> dict[UpstreamId, InFlight]:
-        """Returns what all tellers together have in flight, by upstream."""
+        """Returns the sums over all reporters by upstream."""
         return {
             upstream: InFlight(upstream, self.online(upstream), self.batch(upstream))
             for upstream in {*self._online, *self._batch}
--- a/tests/features/steps/kept_from_running_steps.py
+++ b/tests/features/steps/kept_from_running_steps.py
@@ -118,7 +118,7 @@
 @both("a share of failures at all upstreams", "x", "y")
 def failing_share(placement):
     for state in placement.states.values():
-        state.results.observe_peer(well=60, failed=30, now=0.0)
+        state.results.observe_peer(succeeded=60, failed=30, now=0.0)
 
 
 @both("an answer that the only upstream is full", "x")
--- a/tests/features/steps/kept_jobs_steps.py
+++ b/tests/features/steps/kept_jobs_steps.py
@@ -58,7 +58,7 @@
     """A fifth of others' requests fail at the only upstream, 5 a second."""
     while True:
         now = trio.current_time()
-        placement.states[X].results.observe_peer(well=4, failed=1, now=now)
+        placement.states[X].results.observe_peer(succeeded=4, failed=1, now=now)
         await trio.sleep(1)
 
 
--- a/tests/features/steps/kept_slots_steps.py
+++ b/tests/features/steps/kept_slots_steps.py
@@ -199,8 +199,8 @@
         began = trio.current_time()
         for _ in range(8):
             survey.left_unheard(state, silent=True)
-        while survey.placement.own():
-            told.work = WorkInFlight(tuple(survey.placement.own()))
+        while survey.placement.own_in_flight():
+            told.work = WorkInFlight(tuple(survey.placement.own_in_flight()))
             await told.tell()
             await trio.sleep(0.1)
         nursery.start_soon(told.go_on)
--- a/tests/harness/_ends_play.py
+++ b/tests/harness/_ends_play.py
@@ -155,7 +155,7 @@
             for other in self.play.up:
                 if other is not self:
                     peer = InstanceId(other.name)
-                    self.placement.peers.observe(peer, other.placement.own())
+                    self.placement.peers.observe(peer, other.placement.own_in_flight())
             self.worker.look()
             # All are told of by all: as seldom as they are many.
             await trio.sleep(COUNTS_EVERY_S * max(1.0, self.play.plan.instances / 6))
