--- a/src/coppercleat/serving/_incarnation_probe.py
+++ b/src/coppercleat/serving/_incarnation_probe.py
@@ -1,4 +1,4 @@
-"""Whether an upstream still lives, by its own report."""
+"""Probes whether an upstream is still the same incarnation."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 )
 from coppercleat.serving._upstream_state import UpstreamState
 
-_FINDINGS = {
+_RESULTS = {
     None: Finding.SOMETHING_LISTENS,
     False: Finding.OTHER_LIFE,
     True: Finding.SAME_LIFE,
@@ -25,22 +25,22 @@
 def incarnation_probe(
     caller: UpstreamCaller,
 ) -> Callable[[UpstreamState], Awaitable[Finding]]:
-    """Returns the question that ``EndWatch`` puts to upstreams."""
+    """Returns the probe by which ``EndWatch`` asks an upstream for its start time."""
 
-    async def ask(state: UpstreamState) -> Finding:
+    async def probe(state: UpstreamState) -> Finding:
         try:
             report = await caller.report(state.upstream)
         except NothingListensError:
             return Finding.NOTHING_LISTENS
         except UpstreamBrokeError as error:
-            _log.debug("An upstream did not report.", reason=str(error))
+            _log.debug("An upstream did not answer a probe.", reason=str(error))
             return Finding.NO_ANSWER
         _log.debug(
-            "An upstream reports.",
+            "An upstream answered a probe.",
             upstream=state.id,
             born_ms=report.born_ms,
             listed_born_ms=state.upstream.born_ms,
         )
-        return _FINDINGS[state.upstream.is_same_incarnation(report.born_ms)]
+        return _RESULTS[state.upstream.is_same_incarnation(report.born_ms)]
 
-    return ask
+    return probe
--- a/src/coppercleat/serving/_poll_intervals.py
+++ b/src/coppercleat/serving/_poll_intervals.py
@@ -1,8 +1,7 @@
-"""How often an instance polls and writes, from the bounds and rates it is given.
+"""Intervals at which an instance polls the store and renews its lease.
 
-Each pause is the shortest of what is useful and what a bound of the deployment asks
-for, and is stretched where a large fleet would use up the store's rates. ``hurry`` is a
-share of the pause that is wanted for a while, as after a start.
+Each interval follows from a time bound in the settings, up to a maximum, and is
+stretched in a large fleet to stay within the store's rates.
 """
 
 from __future__ import annotations
@@ -10,66 +9,81 @@
 from coppercleat.serving._settings import GatewaySettings
 from coppercleat.storage import paced
 
-POLL_S = 1.0
-"""Longest pause between reads of routes and of upstreams."""
+MAX_POLL_INTERVAL_S = 1.0
+"""Longest interval between reads of routes and of upstreams, in seconds."""
 
 POLLS_PER_BOUND = 4
-"""Reads of routes or upstreams within the time in which a change must be in force: two
-may be lost or slow, and the last still leaves time to act."""
+"""Reads of routes or upstreams per time bound: two may fail or be slow, and the next
+still leaves time to act."""
 
-REFRESH_S = 0.4
-REFRESHES_PER_BOUND = 7
-"""The same for jobs: one that has ended must stop everywhere in time."""
+MAX_JOBS_POLL_INTERVAL_S = 0.4
+"""Longest interval between reads of changed jobs, in seconds."""
 
-LEASE_RENEW_S = 1.0
-LEASE_RENEWALS = 3.5
-"""An instance whose row stands still for so many renewals is taken as gone: three
-missed ones, and the time of a slow store."""
+JOBS_POLLS_PER_BOUND = 7
+"""Reads of changed jobs per time bound."""
+
+RENEWAL_INTERVAL_S = 1.0
+"""Interval between lease renewals, in seconds."""
+
+RENEWALS_PER_LEASE = 3.5
+"""Length of a lease in renewal intervals: three renewals may fail, and the store may be
+slow."""
 
 READ_SHARE = 0.2
-"""Share of the store's reads that the whole fleet spends on one kind of poll; there
-are four, the rest is for clients."""
+"""Share of the store's reads that the fleet spends on each of four kinds of polls."""
 
 WRITE_SHARE = 0.2
-"""Share of the store's writes that renewals of all instances may take."""
+"""Share of the store's writes that the fleet spends on lease renewals."""
 
 
 def routes_poll_interval_s(
-    settings: GatewaySettings, instances: int, *, hurry: float = 1.0
+    settings: GatewaySettings, instances: int, *, scale: float = 1.0
 ) -> float:
-    """Returns seconds between reads of the routes."""
-    wanted_s = min(POLL_S, settings.apply_s / POLLS_PER_BOUND)
-    return paced(hurry * wanted_s, instances, _reads(settings))
+    """Returns the interval between reads of the routes, in seconds.
+
+    Args:
+      settings: Settings of this instance.
+      instances: Number of live instances.
+      scale: Factor on the interval before it is stretched; below 1 after a start.
+    """
+    wanted_s = min(MAX_POLL_INTERVAL_S, settings.apply_s / POLLS_PER_BOUND)
+    return paced(scale * wanted_s, instances, _reads(settings))
 
 
 def upstreams_poll_interval_s(
-    settings: GatewaySettings, instances: int, *, hurry: float = 1.0
+    settings: GatewaySettings, instances: int, *, scale: float = 1.0
 ) -> float:
-    """Returns seconds between reads of the list of upstreams."""
-    wanted_s = min(POLL_S, settings.drain_s / POLLS_PER_BOUND)
-    return paced(hurry * wanted_s, instances, _reads(settings))
+    """Returns the interval between reads of the upstreams, in seconds.
+
+    Args:
+      settings: Settings of this instance.
+      instances: Number of live instances.
+      scale: As for the routes.
+    """
+    wanted_s = min(MAX_POLL_INTERVAL_S, settings.drain_s / POLLS_PER_BOUND)
+    return paced(scale * wanted_s, instances, _reads(settings))
 
 
 def jobs_poll_interval_s(settings: GatewaySettings, instances: int) -> float:
-    """Returns seconds between looks at what has changed of the jobs."""
-    wanted_s = min(REFRESH_S, settings.cancel_s / REFRESHES_PER_BOUND)
+    """Returns the interval between reads of changed jobs, in seconds."""
+    wanted_s = min(MAX_JOBS_POLL_INTERVAL_S, settings.cancel_s / JOBS_POLLS_PER_BOUND)
     return paced(wanted_s, instances, _reads(settings))
 
 
 def renewal_interval_s(
-    settings: GatewaySettings, instances: int, *, hurry: float = 1.0
+    settings: GatewaySettings, instances: int, *, scale: float = 1.0
 ) -> float:
-    """Returns seconds between renewals of an instance's own row."""
+    """Returns the interval between renewals of the own lease, in seconds."""
     writes = settings.store.writes_per_s * WRITE_SHARE
     calls = min(writes, _reads(settings))
-    return paced(hurry * LEASE_RENEW_S, instances, calls)
+    return paced(scale * RENEWAL_INTERVAL_S, instances, calls)
 
 
 def lease_s(settings: GatewaySettings, instances: int) -> float:
-    """Returns for how long a renewal makes an instance count as alive."""
-    return LEASE_RENEWALS * renewal_interval_s(settings, instances)
+    """Returns how long a renewal keeps an instance's lease alive, in seconds."""
+    return RENEWALS_PER_LEASE * renewal_interval_s(settings, instances)
 
 
 def _reads(settings: GatewaySettings) -> float:
-    """Returns reads a second that one kind of poll may take from the store."""
+    """Returns the reads per second that the fleet may spend on one kind of poll."""
     return settings.store.reads_per_s * READ_SHARE
--- a/src/coppercleat/serving/_settings.py
+++ b/src/coppercleat/serving/_settings.py
@@ -1,4 +1,4 @@
-"""What one gateway process is told at its start."""
+"""Settings of a gateway instance."""
 
 from __future__ import annotations
 
@@ -8,28 +8,30 @@
 
 
 class StoreRates(msgspec.Struct, frozen=True, kw_only=True):
-    """What the platform's store serves to the whole fleet, in calls a second."""
+    """Call rates that the platform's store can serve to the whole fleet."""
 
     reads_per_s: float = 2000.0
     writes_per_s: float = 800.0
 
 
 class GatewaySettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Settings of one gateway instance, whatever file they came from.
+    """Settings of one gateway instance.
 
     Attributes:
-      clients: ``IP:PORT`` on which clients' requests arrive.
-      readiness: ``IP:PORT`` of readiness and metrics.
-      peers: ``IP:PORT`` on which other instances' messages arrive.
-      seeds: Peers' addresses to begin with; may be stale.
-      grace_s: Seconds between the order to stop and the kill.
+      instance: Unique name of the instance; stays the same when it restarts.
+      zone: Availability zone of the instance.
+      clients: ``IP:PORT`` that listens for client requests.
+      readiness: ``IP:PORT`` that serves readiness checks and metrics.
+      peers: ``IP:PORT`` that receives messages of other instances.
+      seeds: Addresses of peers to contact first; may be stale.
+      grace_s: Seconds between the termination signal and the kill.
       apply_s: Seconds within which a new configuration must be in force.
-      drain_s: Seconds after which a leaving upstream must get no new work.
-      cancel_s: Seconds after which nothing of an ended job may start.
-      quota_tolerance: Share by which waiting tokens may exceed their limit.
+      drain_s: Seconds after which a draining upstream must get no new work.
+      cancel_s: Seconds after which no item of an ended job may start.
+      quota_tolerance: Fraction by which waiting tokens may exceed their limit.
       keep_s: Seconds after its acceptance for which a job stays readable.
-      store: Rates of the platform's store.
-      fleet_name: The same on all instances of a fleet, different between fleets.
+      store: Call rates of the platform's store.
+      fleet_name: Common to all instances of a fleet; distinguishes fleets.
     """
 
     instance: InstanceId
--- a/src/coppercleat/serving/_watch.py
+++ b/src/coppercleat/serving/_watch.py
@@ -1,4 +1,4 @@
-"""Follows routes, upstreams and instances on the platform, and through peers."""
+"""Keeps routes, upstreams and live instances up to date, by polling and from peers."""
 
 from __future__ import annotations
 
@@ -38,29 +38,34 @@
 )
 
 STARTUP_S = 3.0
-STARTUP_PACE = 0.3
-"""For so long after its start an instance polls at this share of the pauses: after all
-have stopped at once, jobs wait until the others' new rows are seen."""
+"""Seconds after its start for which an instance polls more often."""
 
-LEAVE_WITHIN_S = 1.0
-"""For telling the others that this instance stops; then they find out by its lease."""
+STARTUP_INTERVAL_SCALE = 0.3
+"""Factor on the poll intervals meanwhile: after a restart of the whole fleet, jobs have
+no owner until the other instances' new rows are seen."""
 
-_DOUBT_S = 1.8
-"""Upstreams missing right after an outage of the store may come back for so long;
-the platform says about two seconds."""
+LEAVE_TIMEOUT_S = 1.0
+"""Time limit for announcing the shutdown, in seconds; without it the lease expires."""
 
-_MANY_GONE = 0.5
-_SHORT_DOUBT_S = 1.0
-"""When more than this share of the list is missing at once, it is in doubt too, but for
-less: it may be true, and leaving upstreams must get nothing new after 2 s."""
+_OUTAGE_GRACE_S = 1.8
+"""Seconds for which an upstream that is missing from the list after an outage of the
+store is kept; the platform relists upstreams within about two seconds."""
 
-_STARVED_S = 1.0
+_MASS_LOSS_SHARE = 0.5
+"""Share of the upstreams that must be missing at once for the list to be doubted."""
 
-_RENEW_TRIES = 3
+_MASS_LOSS_GRACE_S = 1.0
+"""Seconds for which they are kept; shorter than the time after which an upstream that
+has really left must get no new requests."""
 
-_LOST_EARLY_S = 1.0
-"""A renewal whose answer is lost sooner met a dead connection and is made again at
-once; later, the store is away or slow, and is asked no more often."""
+_STALE_S = 1.0
+"""Age in seconds from which routes and upstreams count as stale."""
+
+_MAX_RENEWAL_ATTEMPTS = 3
+
+_RETRY_LOST_WITHIN_S = 1.0
+"""A renewal whose reply is lost within this time, in seconds, failed by a dead
+connection and is retried at once; otherwise the store is slow or unreachable."""
 
 _INSTANCE_PREFIX = "instance/"
 
@@ -68,10 +73,10 @@
 
 
 class Catalogue(Protocol):
-    """What the operator and the upstreams have written on the platform."""
+    """Reads what the operator and the upstreams have written to the platform."""
 
     async def read_routes(self) -> RouteConfig | None:
-        """Returns the newest routes, None if there are none yet."""
+        """Returns the newest version of the routes, None if there is none yet."""
         ...
 
     async def read_upstreams(self) -> list[Upstream]:
@@ -80,11 +85,14 @@
 
 
 class InstanceRow(msgspec.Struct, frozen=True, kw_only=True):
-    """An instance's own row; its version grows with each renewal.
+    """Row by which an instance holds its lease; each renewal increments its version.
 
     Attributes:
-      boot: Names one start of the instance.
-      quarantined: Requests under which upstreams ended, as far as it keeps them.
+      boot: Identifies one start of the instance.
+      peers: ``IP:PORT`` that receives messages of other instances.
+      zone: Availability zone of the instance.
+      leaving: Whether the instance is shutting down.
+      quarantined: Quarantined requests that this instance stores.
     """
 
     boot: str
@@ -95,43 +103,50 @@
 
 
 class UpstreamList:
-    """Decides which upstreams to keep when some are missing from the list."""
+    """Keeps upstreams for a while that a doubtful list does not show."""
 
     def __init__(self) -> None:
         self._known: dict[UpstreamId, Upstream] = {}
-        self._doubted_until: dict[UpstreamId, float] = {}
+        self._kept_until: dict[UpstreamId, float] = {}
 
     def observe(
         self, listed: list[Upstream], *, after_outage: bool, now: float
     ) -> list[Upstream]:
-        """Takes the list as just read and returns the upstreams to use.
+        """Returns the upstreams to use, given a list that has just been read.
 
         Args:
-          listed: What the platform lists.
-          after_outage: Whether reads before this one failed.
+          listed: Upstreams that the platform lists.
+          after_outage: Whether this is the first read after an outage of the store.
           now: Seconds on this instance's clock.
         """
         current = {upstream.id: upstream for upstream in listed}
         addresses = {upstream.address for upstream in listed}
         missing = [u for i, u in self._known.items() if i not in current]
-        many = len(missing) > _MANY_GONE * max(1, len(self._known))
+        many = len(missing) > _MASS_LOSS_SHARE * max(1, len(self._known))
         for upstream in missing:
-            if (after_outage or many) and upstream.id not in self._doubted_until:
-                doubt_s = _DOUBT_S if after_outage else _SHORT_DOUBT_S
-                self._doubted_until[upstream.id] = now + doubt_s
-            in_doubt = now < self._doubted_until.get(upstream.id, now)
-            if in_doubt and upstream.address not in addresses:
+            if (after_outage or many) and upstream.id not in self._kept_until:
+                grace_s = _OUTAGE_GRACE_S if after_outage else _MASS_LOSS_GRACE_S
+                self._kept_until[upstream.id] = now + grace_s
+            kept = now < self._kept_until.get(upstream.id, now)
+            if kept and upstream.address not in addresses:
                 current[upstream.id] = upstream
-        for known in list(self._doubted_until):
+        for known in list(self._kept_until):
             if known not in current or any(u.id == known for u in listed):
-                del self._doubted_until[known]
+                del self._kept_until[known]
         self._known = current
         return list(current.values())
 
 
 @attrs.define
-class _Sight:
-    """When another instance's row was last seen to change."""
+class _SeenRow:
+    """Another instance's row, and when it was last seen to change.
+
+    Attributes:
+      row: The row.
+      version: Version of the row.
+      changed_at: Time of the read that showed the change, in seconds of this
+        instance's clock.
+    """
 
     row: InstanceRow
     version: int
@@ -139,14 +154,21 @@
 
 
 class Watch:
-    """Keeps routes, upstreams and instances as new as can be had.
+    """Follows routes, upstreams and instances, and holds this instance's lease.
 
     Attributes:
-      table: The routes in force; None while none are known.
-      upstreams_known: Whether a list of upstreams has come from anywhere.
-      on_upstreams_gone: Told of upstreams that are no longer used.
-      kept_ends: Returns the quarantined requests that the own row should tell.
-      on_kept_ends: Told those of any row, the own one of an earlier start included.
+      settings: Settings of this instance.
+      catalogue: Source of routes and upstreams.
+      platform: Store of the instances' rows.
+      placement: Receives the list of upstreams.
+      boot: Identifies this start of the instance.
+      rng: Source of jitter for the poll intervals.
+      table: The routes in force; None until some are known.
+      upstreams_loaded: Whether a list of upstreams has come from the store or a peer.
+      on_members: Called with id, peer address and zone of the other instances.
+      kept_ends: Returns the quarantined requests to store in the own row.
+      on_kept_ends: Called with the quarantined requests in any row, that of an earlier
+        start of this instance included.
     """
 
     def __init__(
@@ -166,7 +188,7 @@
         self.boot = boot
         self.rng = rng
         self.table: RouteTable | None = None
-        self.upstreams_known = False
+        self.upstreams_loaded = False
         self.on_members: Callable[[list[tuple[InstanceId, str, ZoneId]]], None] = (
             lambda members: None
         )
@@ -179,14 +201,14 @@
         self._renewed_at = float("-inf")
         self._instances_read_at = float("-inf")
         self._own_version = ABSENT
-        self._sights: dict[InstanceId, _Sight] = {}
-        self._misfits: dict[InstanceId, int] = {}
+        self._instances: dict[InstanceId, _SeenRow] = {}
+        self._undecodable: dict[InstanceId, int] = {}
         self._leaving = False
-        self._away = False
+        self._unreachable = False
         self._reached_at = float("-inf")
         self._failing: set[str] = set()
 
-    # What others ask.
+    # Queries.
 
     @property
     def version(self) -> int:
@@ -196,67 +218,71 @@
     @property
     def ready(self) -> bool:
         """Whether requests can be served."""
-        return self.table is not None and self.upstreams_known
+        return self.table is not None and self.upstreams_loaded
 
     def holds_lease(self) -> bool:
-        """Returns whether others must still take this instance as alive."""
-        pause_s = renewal_interval_s(self.settings, self.instances)
-        lasts_s = lease_s(self.settings, self.instances) - pause_s / 2
+        """Returns whether this instance's lease is valid, with a safety margin."""
+        interval_s = renewal_interval_s(self.settings, self.instances)
+        lasts_s = lease_s(self.settings, self.instances) - interval_s / 2
         return trio.current_time() - self._renewed_at < lasts_s
 
     @property
     def instances(self) -> int:
-        """How many instances were alive when they were last looked for."""
-        return len(self._sights) + 1
+        """Number of instances with a row at the last read, this one included."""
+        return len(self._instances) + 1
 
     @property
     def has_live_peers(self) -> bool:
-        """Whether other instances were alive when they were last looked for."""
-        return any(not sight.row.leaving for sight in self._sights.values())
+        """Whether other instances that are not leaving had a row at the last read."""
+        return any(not seen.row.leaving for seen in self._instances.values())
 
     def starved(self) -> bool:
-        """Returns whether the store has not been read for a while."""
+        """Returns whether routes or upstreams are stale."""
         now = trio.current_time()
-        return now - min(self._upstreams_at, self._routes_read_at) > _STARVED_S
+        return now - min(self._upstreams_at, self._routes_read_at) > _STALE_S
 
     def is_owner_alive(self, owner: str, *, since: float) -> bool:
-        """Returns whether the start of an instance named ``owner`` is alive.
+        """Returns whether the owner of a job is alive.
 
-        An owner writes its row before it takes a job, so one that is not among
-        the rows is gone, if they were read after its name was first met.
+        An owner writes its row before it takes over a job. Hence one without a row is
+        dead if the rows were read after its name was first seen.
 
         Args:
-          owner: As ``owner_name`` gives it.
-          since: When the name was first met, in trio's time.
+          owner: Name of the owner; see ``owner_name``.
+          since: When the name was first seen, in seconds of this instance's clock.
         """
         if owner == self.owner_name:
             return True
         instance, _, boot = owner.rpartition("/")
-        sight = self._sights.get(InstanceId(instance))
-        if sight is None or sight.row.boot != boot:
+        seen = self._instances.get(InstanceId(instance))
+        if seen is None or seen.row.boot != boot:
             return self._instances_read_at <= since
-        if sight.row.leaving:
+        if seen.row.leaving:
             return False
-        # By the last read, not by now: while nothing is read nothing is known to die.
-        still_s = self._instances_read_at - sight.changed_at
-        return still_s < lease_s(self.settings, self.instances)
+        # As of the last read: no lease expires while the store cannot be read.
+        unchanged_s = self._instances_read_at - seen.changed_at
+        return unchanged_s < lease_s(self.settings, self.instances)
 
     @property
     def owner_name(self) -> str:
-        """Names this start of this instance."""
+        """Name of this start of the instance as an owner of jobs."""
         return f"{self.settings.instance}/{self.boot}"
 
     def living(self) -> list[str]:
-        """Returns the names of all living instances, this one included."""
+        """Returns the owner names of all live instances, this one included."""
         now = trio.current_time()
-        names = [f"{i}/{s.row.boot}" for i, s in self._sights.items()]
+        names = [f"{i}/{s.row.boot}" for i, s in self._instances.items()]
         return [
             self.owner_name,
             *(n for n in names if self.is_owner_alive(n, since=now)),
         ]
 
     def knowledge(self, after: int) -> Knowledge | None:
-        """Returns what a peer that asks should be told."""
+        """Returns the snapshot for a peer that asks, None if no routes are known.
+
+        Args:
+          after: Version of the routes that the peer has.
+        """
         if self.table is None:
             return None
         config = self.table.config if self.version > after else None
@@ -264,59 +290,59 @@
         return Knowledge(config, self._upstreams, min(age, 1e9))
 
     def take_knowledge(self, knowledge: Knowledge) -> None:
-        """Takes what a peer knows, where it is newer."""
+        """Adopts a peer's routes and upstreams if they are newer."""
         if knowledge.config is not None:
             self._adopt(knowledge.config, source="a peer")
         read_at = trio.current_time() - knowledge.upstreams_age_s
-        if knowledge.upstreams and read_at > self._upstreams_at + _STARVED_S:
+        if knowledge.upstreams and read_at > self._upstreams_at + _STALE_S:
             self._use(list(knowledge.upstreams), after_outage=False)
             self._upstreams_at = read_at
 
-    # What is polled.
+    # Polling.
 
     async def run(self) -> None:
-        """Polls until cancelled."""
+        """Polls the store until cancelled."""
         async with trio.open_nursery() as nursery:
-            for name, poll, pause_of in (
+            for name, poll, interval_of in (
                 ("routes", self._poll_routes, routes_poll_interval_s),
                 ("upstreams", self._poll_upstreams, upstreams_poll_interval_s),
                 ("renewal", self._renew, renewal_interval_s),
                 ("instances", self._poll_instances, renewal_interval_s),
             ):
-                nursery.start_soon(self._forever, name, poll, pause_of)
+                nursery.start_soon(self._poll_forever, name, poll, interval_of)
 
-    async def _forever(
-        self, name: str, poll: Callable, pause_of: Callable[..., float]
+    async def _poll_forever(
+        self, name: str, poll: Callable, interval_of: Callable[..., float]
     ) -> None:
         began = trio.current_time()
         while True:
             asked_at = trio.current_time()
             try:
                 await poll()
-                self._note_answered(name)
+                self._record_success(name)
             except CoppercleatError as error:
-                self._note_failed(name, asked_at=asked_at, reason=str(error))
+                self._record_failure(name, asked_at=asked_at, reason=str(error))
             starting = trio.current_time() - began < STARTUP_S
-            hurry = STARTUP_PACE if starting else 1.0
-            pause_s = pause_of(self.settings, self.instances, hurry=hurry)
-            await trio.sleep(pause_s * self.rng.uniform(0.8, 1.1))
+            scale = STARTUP_INTERVAL_SCALE if starting else 1.0
+            interval_s = interval_of(self.settings, self.instances, scale=scale)
+            await trio.sleep(interval_s * self.rng.uniform(0.8, 1.1))
 
-    def _note_answered(self, poll: str) -> None:
+    def _record_success(self, poll: str) -> None:
         self._reached_at = trio.current_time()
         if poll in self._failing:
             self._failing.remove(poll)
-            _log.info("A poll is answered again.", poll=poll)
-        if self._away:
-            self._away = False
+            _log.info("Poll succeeded again.", poll=poll)
+        if self._unreachable:
+            self._unreachable = False
             _log.info("The store is back.")
 
-    def _note_failed(self, poll: str, *, asked_at: float, reason: str) -> None:
-        """Takes note of a poll that failed, though the store may answer others."""
+    def _record_failure(self, poll: str, *, asked_at: float, reason: str) -> None:
+        """Records a failed poll; the store may still answer polls of other kinds."""
         if poll not in self._failing:
             self._failing.add(poll)
-            _log.info("A poll failed.", poll=poll, reason=reason)
-        if not self._away and self._reached_at < asked_at:
-            self._away = True
+            _log.info("Poll failed.", poll=poll, reason=reason)
+        if not self._unreachable and self._reached_at < asked_at:
+            self._unreachable = True
             _log.warning("The store is away.", reason=reason)
 
     async def _poll_routes(self) -> None:
@@ -338,7 +364,7 @@
 
     async def _poll_upstreams(self) -> None:
         now = trio.current_time()
-        after_outage = now - self._upstreams_at > 2 * _STARVED_S
+        after_outage = now - self._upstreams_at > 2 * _STALE_S
         listed = await self.catalogue.read_upstreams()
         self._use(listed, after_outage=after_outage)
         self._upstreams_at = trio.current_time()
@@ -357,15 +383,15 @@
                     born_ms=upstream.born_ms,
                 )
         for upstream_id in gone:
-            _log.info("Upstream gone.", upstream=upstream_id)
+            _log.info("Upstream no longer listed.", upstream=upstream_id)
         self._upstreams = tuple(used)
-        self.upstreams_known = True
+        self.upstreams_loaded = True
 
     async def _renew(self) -> None:
-        """Renews this instance's own row, under its last version."""
+        """Renews the own row, on condition that its version is the last known one."""
         key = _INSTANCE_PREFIX + self.settings.instance
         lost = False
-        for _ in range(_RENEW_TRIES):
+        for _ in range(_MAX_RENEWAL_ATTEMPTS):
             began = trio.current_time()
             renewal = Transaction(
                 checks=[Check(key, self._own_version)],
@@ -374,21 +400,21 @@
             try:
                 answer = await self.platform.transact(renewal)
             except AnswerLostError:
-                if lost or trio.current_time() - began > _LOST_EARLY_S:
+                if lost or trio.current_time() - began > _RETRY_LOST_WITHIN_S:
                     raise
-                # Under the same condition: at most one of the two takes effect.
+                # The retry has the same condition: at most one of the two succeeds.
                 lost = True
                 continue
             if not isinstance(answer, TransactionRefused):
                 self._own_version = answer[key]
                 self._renewed_at = began
                 return
-            # An earlier start of this instance, or a renewal whose answer was lost.
+            # Written by an earlier start, or by a renewal whose reply was lost.
             rows = await self.platform.read([key])
             self._own_version = rows[key].version if key in rows else ABSENT
             if key in rows:
-                self._take_kept(rows[key])
-        raise PlatformUnavailableError("The own row changes under this instance")
+                self._restore_quarantined(rows[key])
+        raise PlatformUnavailableError("The own row was changed concurrently")
 
     def _own_row(self) -> InstanceRow:
         return InstanceRow(
@@ -399,59 +425,61 @@
             quarantined=self.kept_ends(),
         )
 
-    def _take_kept(self, row: Row) -> None:
-        """Takes what an earlier start of this instance kept, if it still fits."""
+    def _restore_quarantined(self, row: Row) -> None:
+        """Restores quarantined requests from the own row, if it can be decoded."""
         with contextlib.suppress(PlatformUnavailableError):
             self.on_kept_ends(decode_row(row, InstanceRow).quarantined)
 
-    def _take_row(self, instance: InstanceId, row: Row, now: float) -> None:
-        """Takes another instance's row; one that does not fit must not hide others."""
+    def _observe_row(self, instance: InstanceId, row: Row, now: float) -> None:
+        """Records another instance's row; one that cannot be decoded is logged once."""
         try:
             decoded = decode_row(row, InstanceRow)
         except PlatformUnavailableError as error:
-            if self._misfits.get(instance) != row.version:
-                self._misfits[instance] = row.version
+            if self._undecodable.get(instance) != row.version:
+                self._undecodable[instance] = row.version
                 _log.error(
-                    "An instance's row does not fit.",
+                    "Cannot decode an instance's row.",
                     instance=instance,
                     version=row.version,
                     reason=str(error),
                 )
             return
-        self._sights[instance] = _Sight(decoded, row.version, now)
+        self._instances[instance] = _SeenRow(decoded, row.version, now)
         if decoded.quarantined:
             self.on_kept_ends(decoded.quarantined)
 
     async def leave(self) -> None:
-        """Tells the others that this instance stops; they need not wait."""
+        """Announces the shutdown, so that the others need not await the lease's end."""
         self._leaving = True
         try:
-            with trio.move_on_after(LEAVE_WITHIN_S):
+            with trio.move_on_after(LEAVE_TIMEOUT_S):
                 await self._renew()
         except CoppercleatError as error:
-            _log.warning("Leaving could not be told.", reason=str(error))
+            _log.warning("Cannot announce the shutdown.", reason=str(error))
 
     async def _poll_instances(self) -> None:
         began = trio.current_time()
         rows = await self.platform.scan(_INSTANCE_PREFIX)
         now = trio.current_time()
         if began - self._instances_read_at > lease_s(self.settings, self.instances) / 2:
-            # Nobody could renew, or this instance could not look: what stood still
-            # meanwhile proves nothing.
-            for known in self._sights.values():
+            # After an outage, of the store or of this instance only, rows that have
+            # not changed meanwhile prove nothing.
+            for known in self._instances.values():
                 known.changed_at = now
         self._instances_read_at = began
-        seen: set[InstanceId] = set()
+        listed: set[InstanceId] = set()
         for key, row in rows:
             instance = InstanceId(key.removeprefix(_INSTANCE_PREFIX))
-            seen.add(instance)
+            listed.add(instance)
             if instance == self.settings.instance:
                 continue
-            sight = self._sights.get(instance)
-            if sight is None or sight.version != row.version:
-                self._take_row(instance, row, now)
-        for instance in set(self._sights) - seen:
-            del self._sights[instance]
-        for instance in set(self._misfits) - seen:
-            del self._misfits[instance]
-        self.on_members([(i, s.row.peers, s.row.zone) for i, s in self._sights.items()])
+            seen = self._instances.get(instance)
+            if seen is None or seen.version != row.version:
+                self._observe_row(instance, row, now)
+        for instance in set(self._instances) - listed:
+            del self._instances[instance]
+        for instance in set(self._undecodable) - listed:
+            del self._undecodable[instance]
+        self.on_members(
+            [(i, s.row.peers, s.row.zone) for i, s in self._instances.items()]
+        )
