--- a/src/coppercleat/serving/__init__.py
+++ b/src/coppercleat/serving/__init__.py
@@ -11,6 +11,13 @@
 from coppercleat.serving._answers import why_incomplete
 from coppercleat.serving._demand import Demand, ResponseTimes
 from coppercleat.serving._events import EventSplitter, StreamEvent
+from coppercleat.serving._fleet_order import (
+    PeerQueues,
+    QueuedWork,
+    QueuePosition,
+    Rank,
+    YieldTimer,
+)
 from coppercleat.serving._forwarding import Forwarder, RequestEnd
 from coppercleat.serving._incarnation_probe import incarnation_probe
 from coppercleat.serving._model import (
@@ -27,22 +34,15 @@
     Target,
     Upstream,
 )
-from coppercleat.serving._peer_queues import (
-    PeerQueues,
-    QueuedWork,
-    QueuePosition,
-    Rank,
-    YieldTimer,
-)
-from coppercleat.serving._peers import ItemEvents, Peers, WorkInFlight, ZoneWork
-from coppercleat.serving._placement import NoUpstreamAvailable, Placement
-from coppercleat.serving._poll_intervals import (
+from coppercleat.serving._pauses import (
     jobs_poll_interval_s,
     lease_s,
     renewal_interval_s,
     routes_poll_interval_s,
     upstreams_poll_interval_s,
 )
+from coppercleat.serving._peers import ItemEvents, Peers, WorkInFlight, ZoneWork
+from coppercleat.serving._placement import NoUpstreamAvailable, Placement
 from coppercleat.serving._progress import (
     AttemptEnd,
     NextStep,
@@ -56,7 +56,7 @@
 from coppercleat.serving._silent_moments import SilentMoments
 from coppercleat.serving._silent_runs import RunKind, SilentRuns
 from coppercleat.serving._survey import Survey
-from coppercleat.serving._untracked_requests import estimate_untracked
+from coppercleat.serving._unknown_runs import estimate_untracked
 from coppercleat.serving._upstream_call import (
     NothingListensError,
     UpstreamAnswer,
--- a/src/coppercleat/serving/_admission_queue.py
+++ b/src/coppercleat/serving/_admission_queue.py
@@ -16,7 +16,7 @@
 
 from coppercleat.ids import UpstreamId
 from coppercleat.quarantine import FREE, Verdict
-from coppercleat.serving._peer_queues import QueuedWork, QueuePosition, Rank, YieldTimer
+from coppercleat.serving._fleet_order import QueuedWork, QueuePosition, Rank, YieldTimer
 from coppercleat.serving._placement import NoUpstreamAvailable, Placement
 from coppercleat.serving._upstream_state import UpstreamState
 
--- a/src/coppercleat/serving/_peers.py
+++ b/src/coppercleat/serving/_peers.py
@@ -23,8 +23,8 @@
 from coppercleat.observability import part_logger
 from coppercleat.quarantine import EndsSeen, Fingerprint, ToldEnd
 from coppercleat.serving._dropped_messages import DroppedMessages
+from coppercleat.serving._fleet_order import QueuedWork
 from coppercleat.serving._model import RouteConfig, Upstream
-from coppercleat.serving._peer_queues import QueuedWork
 from coppercleat.serving._placement import AttemptResults, Placement
 from coppercleat.serving._settings import GatewaySettings
 from coppercleat.serving._work_counts import InFlight
--- a/src/coppercleat/serving/_placement.py
+++ b/src/coppercleat/serving/_placement.py
@@ -10,9 +10,9 @@
 from coppercleat.ids import InstanceId, UpstreamId, ZoneId
 from coppercleat.quarantine import End, Verdict
 from coppercleat.serving._demand import Demand
-from coppercleat.serving._flap_damping import STEADY_S, FlapDamping
+from coppercleat.serving._fleet_order import PeerQueues
 from coppercleat.serving._model import Route, Target, Upstream
-from coppercleat.serving._peer_queues import PeerQueues
+from coppercleat.serving._steadiness import STEADY_S, FlapDamping
 from coppercleat.serving._upstream_state import UpstreamState
 from coppercleat.serving._work_counts import InFlight, WorkCounts
 
--- a/src/coppercleat/serving/_silent_runs.py
+++ b/src/coppercleat/serving/_silent_runs.py
@@ -9,7 +9,7 @@
 import trio
 
 from coppercleat.observability import part_logger
-from coppercleat.serving._untracked_requests import ASSUME_RUNNING_AFTER_S
+from coppercleat.serving._unknown_runs import ASSUME_RUNNING_AFTER_S
 from coppercleat.serving._upstream_state import UpstreamState
 
 _log = part_logger("silence")
--- a/src/coppercleat/serving/_survey.py
+++ b/src/coppercleat/serving/_survey.py
@@ -17,7 +17,7 @@
 from coppercleat.ids import UpstreamId
 from coppercleat.observability import part_logger
 from coppercleat.serving._placement import Placement
-from coppercleat.serving._untracked_requests import HELD_S, estimate_untracked
+from coppercleat.serving._unknown_runs import HELD_S, estimate_untracked
 from coppercleat.serving._upstream_call import (
     UpstreamBrokeError,
     UpstreamCaller,
--- a/src/coppercleat/serving/_watch.py
+++ b/src/coppercleat/serving/_watch.py
@@ -16,14 +16,14 @@
 from coppercleat.observability import part_logger
 from coppercleat.quarantine import KeptEnds
 from coppercleat.serving._model import RouteConfig, RouteTable, Upstream
-from coppercleat.serving._peers import Knowledge
-from coppercleat.serving._placement import Placement
-from coppercleat.serving._poll_intervals import (
+from coppercleat.serving._pauses import (
     lease_s,
     renewal_interval_s,
     routes_poll_interval_s,
     upstreams_poll_interval_s,
 )
+from coppercleat.serving._peers import Knowledge
+from coppercleat.serving._placement import Placement
 from coppercleat.serving._settings import GatewaySettings
 from coppercleat.storage import (
     ABSENT,
