--- a/src/coppercleat/serving/_admission_queue.py
+++ b/src/coppercleat/serving/_admission_queue.py
@@ -62,7 +62,8 @@
       priority: Priority of its route; 0 is the most urgent.
       on_time_by: Latest time of dispatch at which it meets its latency target.
       serve_by: Latest time of dispatch at which it is answered before its deadline.
-      begun: Whether a part of its response has been sent; then it is not shed.
+      begun: Whether a part of its response has been sent; then it is queued whatever
+        its estimated wait.
       avoid: Upstreams that it must not be sent to.
       verdict: The quarantine's verdict on it; may exclude further upstreams.
       outcome: The upstream whose slot it got, or why it got none; None while it is
@@ -97,8 +98,8 @@
       placement: Upstreams and the work in flight there.
       peer_queues: Requests and items that are queued at other instances.
       demand: Arrival rates and service times.
-      shutdown_at: When this instance cuts what is in flight, in seconds of its clock;
-        infinity until it shuts down.
+      shutdown_at: When this instance aborts what is in flight, in seconds of its
+        clock; infinity until it shuts down.
     """
 
     def __init__(
--- a/src/coppercleat/serving/_placement.py
+++ b/src/coppercleat/serving/_placement.py
@@ -117,9 +117,9 @@
         listed = {upstream.id: upstream for upstream in upstreams}
         gone = [known for known in self.states if known not in listed]
         for upstream_id in gone:
-            left = self.states.pop(upstream_id)
-            left.gone = True
-            self.flap_damping.record_gone(left, now)
+            departed = self.states.pop(upstream_id)
+            departed.gone = True
+            self.flap_damping.record_gone(departed, now)
         for upstream in listed.values():
             state = self.states.get(upstream.id)
             if (
@@ -137,30 +137,30 @@
                 state.update_listing(upstream)
         return gone
 
-    def record_crash(self, end: End, attempt_began: float) -> None:
+    def record_crash(self, crash: End, attempt_began: float) -> None:
         """Records a crash, detected here or reported by a peer.
 
         Args:
-          end: The crash.
+          crash: The crash.
           attempt_began: Start of an attempt that it interrupted, in seconds of this
             instance's clock.
         """
-        state = self.states.get(end.upstream)
+        state = self.states.get(crash.upstream)
         if state is not None:
-            self.flap_damping.record_crash(state, end, attempt_began=attempt_began)
+            self.flap_damping.record_crash(state, crash, attempt_began=attempt_began)
 
-    def retract_crash(self, end: End) -> None:
+    def retract_crash(self, crash: End) -> None:
         """Retracts a crash that turned out to be a false positive."""
-        state = self.states.get(end.upstream)
+        state = self.states.get(crash.upstream)
         if state is not None:
             self.flap_damping.retract_crash(state)
 
     def observe_results(self, results: Iterable[AttemptResults], *, now: float) -> None:
         """Adds the results of a peer's attempts."""
-        for of_upstream in results:
-            state = self.states.get(of_upstream.upstream)
+        for result in results:
+            state = self.states.get(result.upstream)
             if state is not None:
-                succeeded, failed = of_upstream.succeeded, of_upstream.failed
+                succeeded, failed = result.succeeded, result.failed
                 state.results.observe_peer(succeeded=succeeded, failed=failed, now=now)
 
     def take_unreported_results(self) -> list[AttemptResults]:
--- a/src/coppercleat/serving/_steadiness.py
+++ b/src/coppercleat/serving/_steadiness.py
@@ -69,20 +69,20 @@
         state.steady_from = self._steady_from(state)
 
     def record_crash(
-        self, state: UpstreamState, end: End, *, attempt_began: float
+        self, state: UpstreamState, crash: End, *, attempt_began: float
     ) -> None:
         """Records a crash; duplicate and late reports are ignored.
 
         Args:
           state: The upstream.
-          end: The crash.
+          crash: The crash.
           attempt_began: Start of an attempt that it interrupted, in seconds of this
             instance's clock.
         """
-        at = end.at
+        at = crash.at
         if attempt_began <= state.crashed_at or at < state.crashed_at + SAME_END_S:
             return  # Known already, or older than the known one.
-        if state.upstream.is_same_incarnation(end.born_ms) is False:
+        if state.upstream.is_same_incarnation(crash.born_ms) is False:
             # Of an earlier incarnation, whose start is no longer known.
             return
         # Judged by earlier incarnations: a request may have caused this crash.
--- a/src/coppercleat/serving/_unknown_runs.py
+++ b/src/coppercleat/serving/_unknown_runs.py
@@ -18,7 +18,7 @@
 """Seconds without a report after which untracked requests are taken to have ended:
 about the duration of the longest batch item."""
 
-DECREMENT = 1
+ESTIMATE_DECREMENT = 1
 """Decrease of an estimate that a report permits but does not support. Without it, slots
 would stay unused, since under load each report permits one or two too many."""
 
@@ -41,4 +41,4 @@
     least = max(0, reported - max(known))
     supporting = sum(reported - count >= before for count in known)
     supported = supporting > SUPPORT_SHARE * len(known)
-    return min(most, max(least, before if supported else before - DECREMENT))
+    return min(most, max(least, before if supported else before - ESTIMATE_DECREMENT))
