--- a/src/coppercleat/jobs/_item_quarantine.py
+++ b/src/coppercleat/jobs/_item_quarantine.py
@@ -57,7 +57,7 @@
           to any, so that it only waits for a free slot.
         """
         now, service = trio.current_time(), route.targets[0].service
-        avoid = self.placement.to_avoid(verdict, service, now=now)
+        avoid = self.placement.upstreams_to_avoid(verdict, service, now=now)
         if not avoid and verdict.kind is not VerdictKind.TRIAL:
             return None
         wait_s = _SLOT_RETRY_S
--- a/src/coppercleat/jobs/_items.py
+++ b/src/coppercleat/jobs/_items.py
@@ -23,11 +23,10 @@
 from coppercleat.serving import (
     EventSequence,
     EventSplitter,
-    Nowhere,
+    NoUpstreamAvailable,
     OnlineRequest,
-    Patience,
-    Place,
     Placement,
+    QueuePosition,
     Rank,
     Route,
     RunKind,
@@ -36,9 +35,10 @@
     UpstreamBrokeError,
     UpstreamCaller,
     UpstreamState,
+    YieldTimer,
     head_of,
+    incarnation_probe,
     is_event_stream,
-    life_question,
     looks_for_silence,
     why_incomplete,
 )
@@ -124,14 +124,14 @@
         self.caller = caller
         self.instance = instance
         self.silent_runs = silent_runs or SilentRuns()
-        self.crash_detector = crash_detector or CrashDetector(life_question(caller))
+        self.crash_detector = crash_detector or CrashDetector(incarnation_probe(caller))
         self.item_quarantine = ItemQuarantine(self.crash_detector, placement)
         self.on_change = on_change
         self.on_end = on_end
         self._running: list[RunningItem] = []
         self._avoided: dict[UpstreamId, float] = {}
         self._estimator = ItemDurationEstimator()
-        self._patience = Patience(placement.rng)
+        self._patience = YieldTimer(placement.rng)
 
     def find_slot(
         self,
@@ -160,14 +160,14 @@
         avoid = {u for u, until in self._avoided.items() if now < until}
         if item.failures:
             avoid.update(self._failing_upstreams(route, now))
-        own = Place(Rank.BATCH_LATE if late else Rank.BATCH, now + due_in_s)
+        own = QueuePosition(Rank.BATCH_LATE if late else Rank.BATCH, now + due_in_s)
         service = route.targets[0].service
-        shun = self.placement.to_avoid(verdict, service, now=now)
+        ineligible = self.placement.upstreams_to_avoid(verdict, service, now=now)
         suspect_upstreams = {r.state.id for r in self._running if r.crash_suspect}
         if verdict.kind is VerdictKind.TRIAL:
             # An end would count against both, and keep a proper one for longer.
-            shun |= suspect_upstreams
-        ahead = self.placement.order.ahead(own, service=service, now=now)
+            ineligible |= suspect_upstreams
+        ahead = self.placement.peer_queues.ahead(own, service=service, now=now)
         while True:
             state = self.placement.choose_batch(
                 route,
@@ -175,13 +175,13 @@
                 avoid=avoid,
                 now=now,
                 ahead=ahead,
-                shun=shun,
-                apart=suspect_upstreams if verdict.crashes else (),
+                ineligible=ineligible,
+                last_resort=suspect_upstreams if verdict.crashes else (),
             )
-            if not isinstance(state, Nowhere):
+            if not isinstance(state, NoUpstreamAvailable):
                 self._patience.reset()
                 return state
-            if not state.waits or not self._patience.overdue(now):
+            if not state.waits or not self._patience.expired(now):
                 return None
             ahead = 0
 
@@ -388,7 +388,7 @@
         excess = self.placement.load(state) - (state.upstream.slots - RESERVED_SLOTS)
         if excess <= 0:
             return
-        if not self.placement.cuts_next(state, self.instance):
+        if not self.placement.should_preempt(state, self.instance):
             return
         here = [
             running
--- a/src/coppercleat/jobs/_starter.py
+++ b/src/coppercleat/jobs/_starter.py
@@ -11,7 +11,7 @@
 from coppercleat.jobs._run import ItemProgress, JobRun
 from coppercleat.jobs._schedule import Candidate, next_candidates
 from coppercleat.observability import part_logger
-from coppercleat.serving import Rank, Route, RouteTable, Waiting
+from coppercleat.serving import QueuedWork, Rank, Route, RouteTable
 
 MAX_INDEX_AGE_S = 2.0
 """Items start only while the job index is fresher than this; otherwise their job may
@@ -71,7 +71,7 @@
         self.may_start = may_start
         self.isolated = isolated
         self._wake = trio.Event()
-        self._cached_waiting: tuple[Waiting, ...] = ()
+        self._cached_waiting: tuple[QueuedWork, ...] = ()
         self._cached_at = float("-inf")
 
     def late_items(self) -> int:
@@ -85,7 +85,7 @@
     def _count_late(self, items: list[ItemProgress], due_in_s: float) -> int:
         return sum(self.items.seconds_left(item) > due_in_s for item in items)
 
-    def waiting(self) -> tuple[Waiting, ...]:
+    def waiting(self) -> tuple[QueuedWork, ...]:
         """Returns the waiting items to announce to other instances; briefly cached."""
         now = trio.current_time()
         if now - self._cached_at >= _WAITING_CACHE_S:
@@ -93,7 +93,7 @@
             self._cached_waiting = self._collect_waiting()
         return self._cached_waiting
 
-    def _collect_waiting(self) -> tuple[Waiting, ...]:
+    def _collect_waiting(self) -> tuple[QueuedWork, ...]:
         wall, now = self.clock(), trio.current_time()
         waiting = []
         table = self.routes()
@@ -112,9 +112,9 @@
             late = self._count_late(startable, due_in_s)
             if len(startable) > late:
                 on_time = len(startable) - late
-                waiting.append(Waiting(Rank.BATCH, due_in_s, service, on_time))
+                waiting.append(QueuedWork(Rank.BATCH, due_in_s, service, on_time))
             if late:
-                waiting.append(Waiting(Rank.BATCH_LATE, due_in_s, service, late))
+                waiting.append(QueuedWork(Rank.BATCH_LATE, due_in_s, service, late))
         return tuple(waiting[:MAX_ANNOUNCED_ENTRIES])
 
     def _log_lateness(self, run: JobRun, late: int, due_in_s: float) -> None:
--- a/src/coppercleat/jobs/_worker.py
+++ b/src/coppercleat/jobs/_worker.py
@@ -23,7 +23,7 @@
 from coppercleat.jobs._starter import MAX_INDEX_AGE_S, ItemStarter
 from coppercleat.observability import part_logger
 from coppercleat.routing import rendezvous_order
-from coppercleat.serving import ItemEvents, RouteTable, Waiting
+from coppercleat.serving import ItemEvents, QueuedWork, RouteTable
 
 CHECKPOINT_INTERVAL_S = 1.5
 """Interval of checkpoints of running items. A killed instance loses at most this much
@@ -72,7 +72,7 @@
         owner: str,
         clock: Callable[[], float],
         routes: Callable[[], RouteTable | None],
-        owner_lives: Callable[..., bool],
+        is_owner_alive: Callable[..., bool],
         living: Callable[[], list[str]],
         holds_lease: Callable[[], bool],
         isolated: Callable[[], bool],
@@ -89,7 +89,7 @@
           owner: Owner name of this instance; it changes with each restart.
           clock: Returns the Unix time in seconds.
           routes: Returns the current route table; None before it is loaded.
-          owner_lives: Returns whether the owner of a job is alive, given the time
+          is_owner_alive: Returns whether the owner of a job is alive, given the time
             ``since`` which its name has been known here.
           living: Returns the owner names of all live instances.
           holds_lease: Returns whether others still consider this instance alive.
@@ -104,7 +104,7 @@
         self.items = items
         self.owner = owner
         self.clock = clock
-        self.owner_lives = owner_lives
+        self.is_owner_alive = is_owner_alive
         self.living = living
         self.holds_lease = holds_lease
         self.pause_s = pause_s
@@ -154,7 +154,7 @@
             if item.quarantine is not None
         ]
 
-    def waiting(self) -> tuple[Waiting, ...]:
+    def waiting(self) -> tuple[QueuedWork, ...]:
         """Returns the waiting items to announce to other instances."""
         return self._starter.waiting() if self._may_start() else ()
 
@@ -236,7 +236,7 @@
 
     def _owner_lives(self, owner: str, now: float) -> bool:
         since = self._first_seen.setdefault(owner, now)
-        return owner != NO_OWNER and self.owner_lives(owner, since=since)
+        return owner != NO_OWNER and self.is_owner_alive(owner, since=since)
 
     async def _take_over(self, stored: StoredJob) -> None:
         try:
--- a/src/coppercleat/serving/_life_question.py
+++ b/src/coppercleat/serving/_incarnation_probe.py
@@ -1,4 +1,4 @@
-"""Whether an upstream still lives, by its own report."""
+"""Probes whether an upstream is still the same incarnation."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 )
 from coppercleat.serving._upstream_state import UpstreamState
 
-_FINDINGS = {
+_RESULTS = {
     None: ProbeResult.SOMETHING_LISTENS,
     False: ProbeResult.OTHER_INCARNATION,
     True: ProbeResult.SAME_INCARNATION,
@@ -22,25 +22,25 @@
 _log = part_logger("quarantine")
 
 
-def life_question(
+def incarnation_probe(
     caller: UpstreamCaller,
 ) -> Callable[[UpstreamState], Awaitable[ProbeResult]]:
-    """Returns the question that ``CrashDetector`` puts to upstreams."""
+    """Returns the probe that asks an upstream for its start time."""
 
-    async def ask(state: UpstreamState) -> ProbeResult:
+    async def probe(state: UpstreamState) -> ProbeResult:
         try:
             report = await caller.report(state.upstream)
         except NothingListensError:
             return ProbeResult.NOTHING_LISTENS
         except UpstreamBrokeError as error:
-            _log.debug("An upstream did not report.", reason=str(error))
+            _log.debug("An upstream did not answer a probe.", reason=str(error))
             return ProbeResult.NO_ANSWER
         _log.debug(
-            "An upstream reports.",
+            "An upstream answered a probe.",
             upstream=state.id,
             born_ms=report.born_ms,
             listed_born_ms=state.upstream.born_ms,
         )
-        return _FINDINGS[state.upstream.is_same_life(report.born_ms)]
+        return _RESULTS[state.upstream.is_same_incarnation(report.born_ms)]
 
-    return ask
+    return probe
--- a/tests/harness/_ends_play.py
+++ b/tests/harness/_ends_play.py
@@ -26,7 +26,7 @@
     Submission,
 )
 from coppercleat.quarantine import CrashDetector, QuarantineRecord, QuarantineStore
-from coppercleat.serving import Placement, RouteConfig, RouteTable, life_question
+from coppercleat.serving import Placement, RouteConfig, RouteTable, incarnation_probe
 from coppercleat.storage import MemoryPlatform
 from tests.harness._ends_plan import (
     CALM_S,
@@ -83,8 +83,8 @@
         self.wakes_at = self.reads_rows_at = 0.0
         rng = random.Random(f"{play.plan.seed} {number} {start}")
         self.placement = Placement(ZoneId("a"), rng=rng)
-        self.watch = CrashDetector(life_question(play.caller))
-        self.watch.on_crash = self.placement.note_end
+        self.watch = CrashDetector(incarnation_probe(play.caller))
+        self.watch.on_crash = self.placement.record_crash
         self.keeper = QuarantineStore(
             self.watch.history,
             clock=trio.current_time,
@@ -108,7 +108,7 @@
             owner=self.owner,
             clock=trio.current_time,
             routes=lambda: table,
-            owner_lives=lambda owner, since: owner in play.living(),
+            is_owner_alive=lambda owner, since: owner in play.living(),
             living=play.living,
             holds_lease=lambda: True,
             isolated=lambda: False,
@@ -155,7 +155,7 @@
             for other in self.play.up:
                 if other is not self:
                     peer = InstanceId(other.name)
-                    self.placement.peers.observe(peer, other.placement.own())
+                    self.placement.peers.observe(peer, other.placement.own_in_flight())
             self.worker.look()
             # All are told of by all: as seldom as they are many.
             await trio.sleep(COUNTS_EVERY_S * max(1.0, self.play.plan.instances / 6))
