--- a/src/coppercleat/serving/_answer_use.py
+++ b/src/coppercleat/serving/_answer_use.py
@@ -1,8 +1,8 @@
-"""Decides what an upstream's answer is to a client: all of one, more of one, or none.
+"""Decides whether and how an upstream's response may be forwarded to the client.
 
-What a client has of an answer was begun by one upstream. Another's answer can only go
-on with it, event by event; whatever else it is, the attempt counts as cut. So no
-status, kind or end of a later answer can pass for the end of the one that has begun.
+Once a part of a response has been forwarded, a response of another upstream can only
+resume it as an event stream of the same status and media type. Any other response
+counts as a failed attempt, so that its end is never taken for the end of the first.
 """
 
 from __future__ import annotations
@@ -15,91 +15,102 @@
 from coppercleat.serving._upstream_call import UpstreamAnswer
 
 EVENT_STREAM = b"text/event-stream"
-_PLAIN = frozenset({b"", b"identity"})
-_BODILESS = frozenset({204, 205})
-_FINAL = 200
-_REDIRECTION = 300
-_SERVER_ERROR = 500
+_IDENTITY_ENCODINGS = frozenset({b"", b"identity"})
+_BODILESS_STATUSES = frozenset({204, 205})
+_FIRST_FINAL_STATUS = 200
+_FIRST_REDIRECT_STATUS = 300
+_FIRST_SERVER_ERROR_STATUS = 500
 
-_PROMISES = frozenset({408, 429, 503})
-"""Statuses by which clients take a request as not run. From an upstream that does not
-say so itself they prove nothing, and are not passed on."""
+_NOT_RUN_STATUSES = frozenset({408, 429, 503})
+"""Statuses that tell clients that the request was not run. An upstream that sends one
+without declaring a refusal may have run it, so these are not forwarded."""
 
 
-class Use(enum.Enum):
-    """How an answer is passed on."""
+class ForwardingMode(enum.Enum):
+    """How the body of a response is forwarded."""
 
     BODY = "body"
     EVENTS = "events"
 
 
-class Unfit(msgspec.Struct, frozen=True):
-    """Why nothing of an answer is passed on."""
+class UnusableResponse(msgspec.Struct, frozen=True):
+    """A response that must not be forwarded, with the reason."""
 
     reason: str
 
 
-class AnswerHead(msgspec.Struct, frozen=True):
-    """What the client knows of the answer that has begun."""
+class ResponseHead(msgspec.Struct, frozen=True):
+    """The properties in which a resuming response must match the first one."""
 
     status: int
     media_type: bytes
 
 
-def head_of(answer: UpstreamAnswer) -> AnswerHead:
-    """Returns what an answer would begin with."""
-    media_type = answer.header(b"content-type").partition(b";")[0].strip().lower()
-    return AnswerHead(answer.status, media_type)
+def head_of(response: UpstreamAnswer) -> ResponseHead:
+    """Returns the status and media type of a response."""
+    media_type = response.header(b"content-type").partition(b";")[0].strip().lower()
+    return ResponseHead(response.status, media_type)
 
 
-def is_event_stream(answer: UpstreamAnswer) -> bool:
-    """Returns whether an answer can be divided into events, by its headers.
+def is_event_stream(response: UpstreamAnswer) -> bool:
+    """Returns whether the headers allow the body to be parsed as an event stream.
 
-    One that says nothing of its kind may be one: its bytes tell.
+    A response without a content type is accepted, and its body decides.
     """
-    encoding = answer.header(b"content-encoding").strip().lower()
-    return encoding in _PLAIN and head_of(answer).media_type in (b"", EVENT_STREAM)
+    encoding = response.header(b"content-encoding").strip().lower()
+    return encoding in _IDENTITY_ENCODINGS and head_of(response).media_type in (
+        b"",
+        EVENT_STREAM,
+    )
 
 
-def use_of(
-    answer: UpstreamAnswer,
+def forwarding_mode(
+    response: UpstreamAnswer,
     *,
     method: str,
     route: Route,
-    begun: AnswerHead | None,
+    sent_head: ResponseHead | None,
     may_move: bool,
-) -> Use | Unfit:
-    """Returns how to pass an answer on.
+) -> ForwardingMode | UnusableResponse:
+    """Returns how to forward a response, or why it must not be forwarded.
 
     Args:
-      answer: One that is not a refusal.
-      method: The request's.
-      route: The request's.
-      begun: What the client has of the answer already; None for nothing.
-      may_move: Whether another upstream could be asked instead.
+      response: A response that is not a refusal.
+      method: The HTTP method of the request.
+      route: The route of the request.
+      sent_head: Head that has been sent to the client; None if there is none.
+      may_move: Whether the request may fail over to another upstream.
     """
-    if begun is not None:
-        return _use_to_go_on(answer, begun)
-    if answer.status < _FINAL:
-        return Unfit(f"{answer.status} is no final answer")
-    if answer.status in _PROMISES:
-        return Unfit(f"{answer.status} does not say whether it was run")
-    if answer.status >= _SERVER_ERROR and may_move:
-        return Unfit(f"the upstream answered {answer.status}")
-    if route.kind is not RouteKind.STREAM or not _has_success_body(answer, method):
-        return Use.BODY
-    return Use.EVENTS if is_event_stream(answer) else Unfit("no stream of events")
-
-
-def _use_to_go_on(answer: UpstreamAnswer, begun: AnswerHead) -> Use | Unfit:
-    head = head_of(answer)
-    if head.status != begun.status:
-        return Unfit(f"the upstream answered {answer.status} to go on with a stream")
-    if head != begun or not is_event_stream(answer):
-        return Unfit("what was to go on with a stream is of another kind")
-    return Use.EVENTS
-
-
-def _has_success_body(answer: UpstreamAnswer, method: str) -> bool:
-    bodiless = method == "HEAD" or answer.status in _BODILESS
-    return answer.status < _REDIRECTION and not bodiless
+    if sent_head is not None:
+        return _resumed_mode(response, sent_head)
+    if response.status < _FIRST_FINAL_STATUS:
+        return UnusableResponse(f"{response.status} is no final answer")
+    if response.status in _NOT_RUN_STATUSES:
+        return UnusableResponse(f"{response.status} does not say whether it was run")
+    if response.status >= _FIRST_SERVER_ERROR_STATUS and may_move:
+        return UnusableResponse(f"the upstream answered {response.status}")
+    if route.kind is not RouteKind.STREAM or not _has_success_body(response, method):
+        return ForwardingMode.BODY
+    return (
+        ForwardingMode.EVENTS
+        if is_event_stream(response)
+        else UnusableResponse("no stream of events")
+    )
+
+
+def _resumed_mode(
+    response: UpstreamAnswer, sent_head: ResponseHead
+) -> ForwardingMode | UnusableResponse:
+    head = head_of(response)
+    if head.status != sent_head.status:
+        return UnusableResponse(
+            f"the upstream answered {response.status} to go on with a stream"
+        )
+    if head != sent_head or not is_event_stream(response):
+        return UnusableResponse("what was to go on with a stream is of another kind")
+    return ForwardingMode.EVENTS
+
+
+def _has_success_body(response: UpstreamAnswer, method: str) -> bool:
+    has_no_body = method == "HEAD" or response.status in _BODILESS_STATUSES
+    return response.status < _FIRST_REDIRECT_STATUS and not has_no_body
--- a/src/coppercleat/serving/_answers.py
+++ b/src/coppercleat/serving/_answers.py
@@ -1,4 +1,4 @@
-"""Passes an upstream's answer on to the client."""
+"""Forwards the body of an upstream's response to the client."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import trio
 
-from coppercleat.serving._answer_use import Use
+from coppercleat.serving._answer_use import ForwardingMode
 from coppercleat.serving._events import EventSplitter
 from coppercleat.serving._exchange import Exchange
 from coppercleat.serving._progress import AttemptEnd, Passed
@@ -14,57 +14,56 @@
 from coppercleat.serving._upstream_call import UpstreamAnswer
 
 _MAX_BUFFERED_BYTES = 1_000_000
-"""An answer to an idempotent request is held back up to this size, so that the
-request can still go elsewhere if the answer is cut."""
+"""Up to this size the response to an idempotent request is buffered, so that the
+request can still fail over if the response is cut off."""
 
 
-async def _pass_events(exchange: Exchange, answer: UpstreamAnswer) -> AttemptEnd:
-    """Passes whole events on as they come, so that a cut can be mended."""
-    splitter = EventSplitter()
+async def _forward_events(exchange: Exchange, response: UpstreamAnswer) -> AttemptEnd:
+    """Forwards complete events only, so that another upstream can resume after them."""
+    parser = EventSplitter()
     sequence = EventSequence(exchange.progress.last_event)
-    async for data in answer.body:
-        whole, in_order = sequence.take(splitter.feed(data))
-        if whole:
+    async for data in response.body:
+        complete, in_order = sequence.take(parser.feed(data))
+        if complete:
             exchange.heard_at = trio.current_time()
-            await exchange.begin(answer, Passed.EVENTS)
-            # Counted and sent without a checkpoint in between that could part them.
-            exchange.progress.note_passed(whole)
-            await exchange.reply.send(b"".join(event.raw for event in whole))
+            await exchange.send_head(response, Passed.EVENTS)
+            # No checkpoint between the two calls, so that no cancellation parts them.
+            exchange.progress.record_forwarded(complete)
+            await exchange.reply.send(b"".join(event.raw for event in complete))
         if not in_order:
             exchange.reason = "an event is out of order"
-            return exchange.cut()
-    incomplete = why_incomplete(
-        splitter,
+            return exchange.broken_outcome()
+    reason = why_incomplete(
+        parser,
         sequence,
-        framed=answer.framed,
+        framed=response.framed,
         may_move=exchange.progress.may_move,
     )
-    if incomplete:
-        exchange.reason = incomplete
-        return exchange.cut()
-    await exchange.begin(answer, Passed.EVENTS)
-    if splitter.rest:
-        await exchange.reply.send(splitter.rest)
+    if reason:
+        exchange.reason = reason
+        return exchange.broken_outcome()
+    await exchange.send_head(response, Passed.EVENTS)
+    if parser.rest:
+        await exchange.reply.send(parser.rest)
     return await exchange.finish()
 
 
 def why_incomplete(
-    splitter: EventSplitter, sequence: EventSequence, *, framed: bool, may_move: bool
+    parser: EventSplitter, sequence: EventSequence, *, framed: bool, may_move: bool
 ) -> str:
-    """Returns why a run whose body has ended is not complete, nothing if it is.
+    """Returns why a body that has ended is incomplete; an empty string if it is not.
 
-    A run that goes on after what turns out to be the last event has none. Its body
-    must then tell its own end: a connection that only ends proves nothing. An answer
-    without any event is asked for elsewhere, as a failure is, and is what it is if
-    nobody else may be asked.
+    A stream that is resumed after its last event holds no events, so its body must
+    mark its own end: a closed connection may be a failure. A response without any
+    event counts as incomplete while the request may fail over.
 
     Args:
-      splitter: Has taken the whole body.
-      sequence: Has taken its events.
-      framed: Whether the body told its own end.
-      may_move: Whether another upstream could be asked instead.
+      parser: Parser that has been fed the whole body.
+      sequence: Sequence that has taken the events of the body.
+      framed: Whether the body's end is marked by a length or a last chunk.
+      may_move: Whether the request may fail over to another upstream.
     """
-    if splitter.rest.strip():
+    if parser.rest.strip():
         return "the answer ended inside an event"
     if sequence.length:
         return ""
@@ -75,26 +74,28 @@
     return ""
 
 
-async def _pass_body(exchange: Exchange, answer: UpstreamAnswer) -> AttemptEnd:
-    """Passes any other body on; holds it back while it could be mended."""
-    held: list[bytes] = []
+async def _forward_body(exchange: Exchange, response: UpstreamAnswer) -> AttemptEnd:
+    """Forwards any other body, and buffers it while the request may fail over."""
+    buffered: list[bytes] = []
     size = 0
-    async for data in answer.body:
+    async for data in response.body:
         size += len(data)
         if exchange.progress.may_move and size <= _MAX_BUFFERED_BYTES:
-            held.append(data)
+            buffered.append(data)
             continue
-        await exchange.begin(answer, Passed.PLACELESS)
-        await exchange.reply.send(b"".join([*held, data]))
-        held.clear()
-    await exchange.begin(answer, Passed.PLACELESS)
-    if held:
-        await exchange.reply.send(b"".join(held))
+        await exchange.send_head(response, Passed.UNRESUMABLE)
+        await exchange.reply.send(b"".join([*buffered, data]))
+        buffered.clear()
+    await exchange.send_head(response, Passed.UNRESUMABLE)
+    if buffered:
+        await exchange.reply.send(b"".join(buffered))
     return await exchange.finish()
 
 
-PASS: dict[Use, Callable[[Exchange, UpstreamAnswer], Awaitable[AttemptEnd]]] = {
-    Use.BODY: _pass_body,
-    Use.EVENTS: _pass_events,
+FORWARD_RESPONSE: dict[
+    ForwardingMode, Callable[[Exchange, UpstreamAnswer], Awaitable[AttemptEnd]]
+] = {
+    ForwardingMode.BODY: _forward_body,
+    ForwardingMode.EVENTS: _forward_events,
 }
-"""What passes an answer on, by its use."""
+"""The function that forwards a response, by mode."""
--- a/src/coppercleat/serving/_events.py
+++ b/src/coppercleat/serving/_events.py
@@ -1,4 +1,4 @@
-"""Divides a stream of server-sent events, in any division of its bytes."""
+"""Parses server-sent events from chunks of bytes of any size."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 _BLANK_LINE = re.compile(rb"\r?\n\r?\n")
 _MAX_EVENT_BYTES = 4_000_000
-"""An event longer than this is no event; bounds what one stream may hold."""
+"""Bounds the memory that one stream may use."""
 
 
 class StreamEvent(msgspec.Struct, frozen=True):
-    """One whole event.
+    """One complete event.
 
     Attributes:
-      raw: Its bytes, with the blank line that ends it.
-      number: Its id as a number, None if it has none.
-      data: Its data, lines joined by line feeds.
+      raw: Bytes of the event, including the blank line that ends it.
+      number: The ``id`` field as a number; None if it is missing or no number.
+      data: The ``data`` fields, joined by line feeds.
     """
 
     raw: bytes
@@ -28,29 +28,29 @@
 
 
 class EventSplitter:
-    """Collects bytes and hands out the events that are whole."""
+    """Incremental parser of an event stream."""
 
     def __init__(self) -> None:
         self._rest = b""
 
     @property
     def rest(self) -> bytes:
-        """Bytes after the last whole event."""
+        """Bytes after the last complete event."""
         return self._rest
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Takes bytes and returns the events they complete.
+        """Parses a chunk and returns the events that it completes.
 
         Raises:
-          UpstreamBrokeError: An event is longer than any may be.
+          UpstreamBrokeError: An event is too long.
         """
         buffer = self._rest + data
         events = []
-        begin = 0
+        start = 0
         for blank in _BLANK_LINE.finditer(buffer):
-            events.append(_parse(buffer[begin : blank.end()]))
-            begin = blank.end()
-        self._rest = buffer[begin:]
+            events.append(_parse(buffer[start : blank.end()]))
+            start = blank.end()
+        self._rest = buffer[start:]
         if len(self._rest) > _MAX_EVENT_BYTES:
             raise UpstreamBrokeError(f"an event exceeds {_MAX_EVENT_BYTES} bytes")
         return events
@@ -60,10 +60,10 @@
     number = None
     data = []
     for line in raw.splitlines():
-        name, _, value = line.partition(b":")
+        field, _, value = line.partition(b":")
         value = value.removeprefix(b" ")
-        if name == b"id" and value.isdigit():
+        if field == b"id" and value.isdigit():
             number = int(value)
-        elif name == b"data":
+        elif field == b"data":
             data.append(value)
     return StreamEvent(raw, number, b"\n".join(data))
--- a/src/coppercleat/serving/_exchange.py
+++ b/src/coppercleat/serving/_exchange.py
@@ -1,4 +1,4 @@
-"""What is known of one online request on its way to upstreams and back."""
+"""The state of one online request across all its attempts."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from coppercleat.ids import UpstreamId
 from coppercleat.serving._admission_queue import RETRY_AFTER_S
-from coppercleat.serving._answer_use import AnswerHead, head_of
+from coppercleat.serving._answer_use import ResponseHead, head_of
 from coppercleat.serving._model import OnlineRequest, Reply, Route
 from coppercleat.serving._progress import AttemptEnd, Passed, RequestProgress
 from coppercleat.serving._upstream_call import UpstreamAnswer
@@ -15,39 +15,44 @@
 
 @attrs.define(eq=False)
 class Exchange:
-    """One request on its way, through all its attempts.
+    """One online request with its response; times are in trio's time.
 
     Attributes:
-      passed_by: The upstream that last refused, or took no connection in time; it
-        gets one more chance, since another may not be left.
-      heard_at: When the attempt began or its last event came, in trio's time.
-      sent_at: When the attempt began, in trio's time.
-      status: Of the attempt's answer; 0 before one.
-      begun: What the client's answer has begun with; None before.
-      load: Runs that the upstream was taken to have as the attempt began, this one
-        included.
-      tellers: Other instances whose work in flight was known then.
-      silent: Whether the attempt was ended since the upstream was silent.
-      disconnected: Whether it was ended since its connection broke.
-      waited_s: Seconds for which it waited for slots, at all attempts.
-      retry_after_s: When to come back, if it is refused as not run.
+      deadline: When the client or the route stops waiting.
+      tried: Upstreams that must not be tried again.
+      upstream: Upstream of the current attempt.
+      retried_upstream: Upstream that has been granted one retry after it refused the
+        request or did not accept a connection.
+      reason: Why the last attempt failed or the request was rejected; may reach the
+        client.
+      first_byte_at: When the first byte was forwarded; 0 before that.
+      heard_at: When the attempt began or its last event arrived.
+      attempt_started_at: When the attempt began.
+      status: HTTP status of the attempt's response; 0 before one arrives.
+      sent_head: Head that has been sent to the client; None before that.
+      load: Estimated runs at the upstream when the attempt began, including this one.
+      tellers: Number of other instances whose counts were known when the attempt began.
+      silent: Whether the attempt was ended because the upstream stalled.
+      disconnected: Whether the attempt failed because its connection broke.
+      waited_s: Seconds spent in the queue for slots, over all attempts.
+      retry_after_s: Delay to suggest to the client if the request was not run.
     """
 
     request: OnlineRequest
     route: Route
     reply: Reply
     progress: RequestProgress
-    ends_at: float
+    deadline: float
     tried: set[UpstreamId] = attrs.field(factory=set)
     upstream: str = ""
-    passed_by: str = ""
+    retried_upstream: str = ""
     reason: str = ""
     arrived_at: float = 0.0
-    first_at: float = 0.0
+    first_byte_at: float = 0.0
     heard_at: float = 0.0
-    sent_at: float = 0.0
+    attempt_started_at: float = 0.0
     status: int = 0
-    begun: AnswerHead | None = None
+    sent_head: ResponseHead | None = None
     load: int = 0
     tellers: int = 0
     silent: bool = False
@@ -55,34 +60,34 @@
     waited_s: float = 0.0
     retry_after_s: float = RETRY_AFTER_S
 
-    def allow_again(self, upstream: UpstreamId) -> None:
-        """Lets an upstream be tried once more that has run nothing of the request."""
-        if self.passed_by != upstream:
-            self.passed_by = upstream
+    def allow_retry(self, upstream: UpstreamId) -> None:
+        """Allows one more attempt at an upstream that did not run the request."""
+        if self.retried_upstream != upstream:
+            self.retried_upstream = upstream
             self.tried.discard(upstream)
 
-    async def begin(self, answer: UpstreamAnswer, passed: Passed) -> None:
-        """Sends the head of the first answer; later ones go on in the same body.
+    async def send_head(self, response: UpstreamAnswer, passed: Passed) -> None:
+        """Sends the head of the first response; later ones continue its body.
 
-        A stream that may go on elsewhere gets no length: another run's rest of it may
-        have another, and the client would see its end too soon.
+        A resumable stream gets no content length, since the bytes of a resuming run may
+        differ and the client would then see a truncated body.
         """
-        if self.begun is not None:
+        if self.sent_head is not None:
             return
-        self.begun = head_of(answer)
+        self.sent_head = head_of(response)
         self.progress.passed = passed
-        self.first_at = trio.current_time()
-        headers = answer.headers
+        self.first_byte_at = trio.current_time()
+        headers = response.headers
         if passed is Passed.EVENTS and self.route.resumes:
             headers = [h for h in headers if h[0].lower() != b"content-length"]
-        await self.reply.start(answer.status, headers)
+        await self.reply.start(response.status, headers)
 
     async def finish(self) -> AttemptEnd:
-        """Ends the answer as complete."""
+        """Ends the response as complete."""
         self.progress.passed = Passed.ALL
         await self.reply.finish()
         return AttemptEnd.COMPLETE
 
-    def cut(self) -> AttemptEnd:
-        """Returns how an attempt ended that broke off at work."""
+    def broken_outcome(self) -> AttemptEnd:
+        """Returns the outcome of a failed attempt that the upstream may have run."""
         return AttemptEnd.CUT if self.progress.started else AttemptEnd.LOST
--- a/src/coppercleat/serving/_forwarding.py
+++ b/src/coppercleat/serving/_forwarding.py
@@ -1,4 +1,4 @@
-"""Passes a client's request to an upstream, and on to another where that is safe."""
+"""Forwards online requests to upstreams, with failover where that is safe."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from coppercleat.quarantine import EndWatch, Standing, Verdict, shown
 from coppercleat.serving._admission import Admission
 from coppercleat.serving._admission_queue import TooLate, Waiter
-from coppercleat.serving._answer_use import Unfit, use_of
-from coppercleat.serving._answers import PASS
+from coppercleat.serving._answer_use import UnusableResponse, forwarding_mode
+from coppercleat.serving._answers import FORWARD_RESPONSE
 from coppercleat.serving._exchange import Exchange
 from coppercleat.serving._life_question import life_question
 from coppercleat.serving._model import (
@@ -26,9 +26,9 @@
 from coppercleat.serving._placement import FULL_S, Nowhere
 from coppercleat.serving._progress import AttemptEnd, NextStep, RequestProgress
 from coppercleat.serving._silence import (
-    SilenceWatch,
-    first_patience_s,
-    gap_patience_s,
+    StallDetector,
+    event_gap_stall_s,
+    first_event_stall_s,
 )
 from coppercleat.serving._silent_runs import RunKind, SilentRuns
 from coppercleat.serving._upstream_call import (
@@ -40,16 +40,17 @@
 from coppercleat.serving._upstream_state import UpstreamState
 from coppercleat.upstreams import Attempt, AttemptState
 
-NOWHERE_RETRY_S = 0.5
-"""When to come back if no upstream is left: the list of them is read as often."""
+NO_UPSTREAM_RETRY_S = 0.5
+"""Delay suggested to clients if no upstream is left; as long as the interval at which
+the list of upstreams is polled."""
 
-_SERVER_ERROR = 500
+_FIRST_SERVER_ERROR_STATUS = 500
 _GATEWAY_TIMEOUT = 504
-"""By which an upstream says that the request's time was up; no fault of its own."""
+"""Sent by an upstream when the request's time is up; not a failure of the upstream."""
 
-_REFUSALS = frozenset({NextStep.REFUSE_AS_NOT_RUN})
+_STEPS_WITH_RETRY_AFTER = frozenset({NextStep.REFUSE_AS_NOT_RUN})
 
-_BARRED = {
+_REJECTION_REASONS = {
     Standing.HELD: "upstreams may have ended while they ran this request",
     Standing.UNSTEADY: "{ends} upstreams ended while they ran this request, and those "
     "that are left have just started",
@@ -61,12 +62,15 @@
 
 @attrs.define(frozen=True, kw_only=True)
 class RequestEnd:
-    """How a request ended, for metrics.
+    """Summary of a finished request, for metrics.
 
     Attributes:
-      route: The route's name.
-      waited_s: Seconds for which it waited for slots.
-      first_s: Seconds to the first part of the answer; None if none came.
+      route: Name of the route.
+      outcome: Value of the final ``NextStep``.
+      tries: Number of attempts.
+      waited_s: Seconds spent in the queue for slots.
+      first_s: Seconds to the first byte; None if nothing was forwarded.
+      total_s: Seconds from arrival to the end.
     """
 
     route: str
@@ -78,7 +82,11 @@
 
 
 class Forwarder:
-    """Forwards requests of all routes but those of batch jobs."""
+    """Forwards the requests of online routes.
+
+    Attributes:
+      silence: Ends attempts at stalled upstreams; the instance must run its ``run``.
+    """
 
     def __init__(
         self,
@@ -89,58 +97,58 @@
         silent_runs: SilentRuns | None = None,
         end_watch: EndWatch[UpstreamState] | None = None,
     ) -> None:
-        """Prepares the forwarder.
+        """Initializes the forwarder.
 
         Args:
-          admission: Gives requests their slots.
-          caller: Reaches upstreams.
-          on_end: Told how each request ended.
-          silent_runs: Told of runs that were left while unheard; None for its own.
-          end_watch: Knows requests that end their upstreams; None for its own.
+          admission: Assigns slots to requests.
+          caller: Sends requests to upstreams.
+          on_end: Called with the summary of each request.
+          silent_runs: Records abandoned runs; None for a new one.
+          end_watch: Detects requests under which upstreams crash; None for a new one.
         """
         self.admission = admission
         self.placement = admission.queue.placement
         self.caller = caller
         self.on_end = on_end
-        self.silence = SilenceWatch(self.placement)
+        self.silence = StallDetector(self.placement)
         self.silent_runs = silent_runs or SilentRuns()
         self.end_watch = end_watch or EndWatch(life_question(caller))
 
     async def forward(
         self, request: OnlineRequest, route: Route, reply: Reply
     ) -> NextStep:
-        """Answers a request and returns how it ended."""
+        """Forwards a request, sends its response, and returns the final step."""
         now = trio.current_time()
-        ends_at = now + min(request.allowed_s, route.timeout_s)
+        deadline = now + min(request.allowed_s, route.timeout_s)
         exchange = Exchange(
-            request, route, reply, RequestProgress(route), ends_at, arrived_at=now
+            request, route, reply, RequestProgress(route), deadline, arrived_at=now
         )
         exchange.progress.last_event = request.resume_after
         step = NextStep.ABORT
         timed_out = False
         try:
-            with trio.move_on_at(ends_at) as scope:
-                step = await self._attempts(exchange)
+            with trio.move_on_at(deadline) as scope:
+                step = await self._run_attempts(exchange)
             if scope.cancelled_caught:
                 timed_out = True
                 step = exchange.progress.give_up()
-            await _conclude(exchange, step, timed_out=timed_out)
+            await _send_final_response(exchange, step, timed_out=timed_out)
         finally:
-            self._explain(exchange, step, timed_out=timed_out)
+            self._log_summary(exchange, step, timed_out=timed_out)
         return step
 
-    async def _attempts(self, exchange: Exchange) -> NextStep:
+    async def _run_attempts(self, exchange: Exchange) -> NextStep:
         while True:
-            # At once, since it would wait for a slot only to be refused.
+            # Checked before queueing, so that a quarantined request takes no slot.
             verdict = self.end_watch.verdict(exchange.request)
             if not verdict.may_run:
-                return self._bar(exchange, verdict)
+                return self._reject(exchange, verdict)
             if exchange.progress.started:
-                # Its client waits in the middle of the answer.
+                # The client is waiting in the middle of a response.
                 verdict = attrs.evolve(verdict, wary=False)
             waiter = self._waiter(exchange, verdict)
-            if self._waits_for_steady(exchange, waiter, verdict):
-                return self._bar(exchange, self._until_steady(waiter, verdict))
+            if self._only_unsteady_left(exchange, waiter, verdict):
+                return self._reject(exchange, self._unsteady_verdict(waiter, verdict))
             began = trio.current_time()
             async with self.admission.slot(waiter) as slot:
                 exchange.waited_s += trio.current_time() - began
@@ -148,27 +156,27 @@
                     exchange.reason = slot.reason
                     exchange.retry_after_s = _retry_after_s(slot)
                     return exchange.progress.give_up()
-                barred = self.end_watch.admit(exchange.request)
-                if not barred.may_run:
-                    return self._bar(exchange, barred)
-                end = await self._attempt(exchange, slot)
-            step = exchange.progress.after(end)
+                admission_verdict = self.end_watch.admit(exchange.request)
+                if not admission_verdict.may_run:
+                    return self._reject(exchange, admission_verdict)
+                outcome = await self._attempt(exchange, slot)
+            step = exchange.progress.after(outcome)
             if step not in (NextStep.TRY_ELSEWHERE, NextStep.RESUME_ELSEWHERE):
                 return step
             _log.info(
-                "Going elsewhere.",
+                "Attempt failed; trying another upstream.",
                 request=exchange.request.request_id,
                 upstream=exchange.upstream,
-                ended=end.value,
+                ended=outcome.value,
                 status=exchange.status,
                 reason=exchange.reason,
                 last_event=exchange.progress.last_event,
             )
 
-    def _waits_for_steady(
+    def _only_unsteady_left(
         self, exchange: Exchange, waiter: Waiter, verdict: Verdict
     ) -> bool:
-        """Returns whether only upstreams are left that have just started."""
+        """Returns whether all upstreams that are left are unsteady."""
         if not verdict.wary:
             return False
         serves, now = self.placement.serves, trio.current_time()
@@ -176,25 +184,27 @@
         avoid = tried | self.placement.to_avoid(verdict, service, now=now)
         return serves(service, avoid=tried) and not serves(service, avoid=avoid)
 
-    def _until_steady(self, waiter: Waiter, verdict: Verdict) -> Verdict:
+    def _unsteady_verdict(self, waiter: Waiter, verdict: Verdict) -> Verdict:
         wait_s = self.placement.steady_in_s(waiter.service, now=trio.current_time())
-        return Verdict(Standing.UNSTEADY, max(NOWHERE_RETRY_S, wait_s), verdict.ends)
+        return Verdict(
+            Standing.UNSTEADY, max(NO_UPSTREAM_RETRY_S, wait_s), verdict.ends
+        )
 
-    def _bar(self, exchange: Exchange, verdict: Verdict) -> NextStep:
-        """Ends a request that has ended its upstreams, or may have."""
-        exchange.reason = _BARRED[verdict.standing].format(ends=verdict.ends)
+    def _reject(self, exchange: Exchange, verdict: Verdict) -> NextStep:
+        """Rejects a request under which upstreams crashed, or may have."""
+        exchange.reason = _REJECTION_REASONS[verdict.standing].format(ends=verdict.ends)
         exchange.retry_after_s = verdict.retry_after_s
         self.end_watch.on_barred(verdict.standing.value)
         return exchange.progress.give_up()
 
     def _waiter(self, exchange: Exchange, verdict: Verdict) -> Waiter:
-        """Returns the request as the queue for slots sees it."""
+        """Returns the request's entry for the admission queue."""
         route = exchange.route
         service = self.placement.draw_service(route.targets)
         if not exchange.progress.tries:
             self.placement.demand.of(service).arrived(now=exchange.arrived_at)
         times = self.placement.demand.times(route.name)
-        # A stream is on time by its first event and then by each pause between them.
+        # A stream has a target for its first event and one for each gap after it.
         due_at = exchange.arrived_at + route.target_latency_s
         if exchange.progress.started:
             due_at = exchange.heard_at + route.gap_target_s
@@ -203,7 +213,7 @@
             service=service,
             priority=route.priority,
             on_time_by=due_at - (times.lead_s if streams else times.service_s),
-            serve_by=exchange.ends_at - times.service_s,
+            serve_by=exchange.deadline - times.service_s,
             begun=exchange.progress.started,
             avoid=exchange.tried,
             verdict=verdict,
@@ -213,110 +223,114 @@
         attempt = Attempt()
         exchange.upstream = state.id
         exchange.tried.add(state.id)
-        exchange.heard_at = exchange.sent_at = trio.current_time()
+        exchange.heard_at = exchange.attempt_started_at = trio.current_time()
         exchange.status = 0
         exchange.load = self.placement.load(state)
         exchange.tellers = len(self.placement.peers.tellers())
         try:
-            end = await self._attempt_until_stall(exchange, state, attempt)
+            outcome = await self._attempt_with_stall_detection(exchange, state, attempt)
         except trio.Cancelled:
-            self._judge_cancelled(exchange, state, attempt)
+            self._record_cancellation(exchange, state, attempt)
             raise
-        self._judge(exchange, state, attempt, end)
-        return end
+        self._record_outcome(exchange, state, attempt, outcome)
+        return outcome
 
-    def _judge_cancelled(
+    def _record_cancellation(
         self, exchange: Exchange, state: UpstreamState, attempt: Attempt
     ) -> None:
-        """Counts an attempt that was ended by its time or by the client's leaving.
+        """Records an attempt that was ended by its deadline or a client disconnect.
 
-        A client that has the whole answer may leave while the attempt is wound up.
+        A client may disconnect as soon as it has the whole response.
         """
         if exchange.progress.finished:
             exchange.progress.after(AttemptEnd.COMPLETE)
-            self._judge(exchange, state, attempt, AttemptEnd.COMPLETE)
+            self._record_outcome(exchange, state, attempt, AttemptEnd.COMPLETE)
         elif attempt.state is not AttemptState.QUEUED:
             exchange.progress.runs += 1
             if attempt.state is AttemptState.SENT:
-                self._left(exchange, state, silent=False)
+                self._record_abandoned_run(exchange, state, silent=False)
                 self.end_watch.left(exchange.request.fingerprint, state)
-            self._judge_silence(exchange, state)
+            self._record_stall(exchange, state)
 
-    async def _attempt_until_stall(
+    async def _attempt_with_stall_detection(
         self, exchange: Exchange, state: UpstreamState, attempt: Attempt
     ) -> AttemptEnd:
-        end = AttemptEnd.LOST
+        outcome = AttemptEnd.LOST
         exchange.silent = exchange.disconnected = False
-        with self.silence.watched(exchange, state):
+        with self.silence.watching(exchange, state):
             try:
                 async with self.caller.exchange(
                     state.upstream,
                     exchange.request,
                     attempt=attempt,
-                    allowed_s=exchange.ends_at - trio.current_time(),
+                    allowed_s=exchange.deadline - trio.current_time(),
                     resume_after=exchange.progress.last_event,
-                ) as answer:
-                    end = await self._pass_on(exchange, state, answer)
+                ) as response:
+                    outcome = await self._forward_response(exchange, state, response)
             except UpstreamBrokeError as error:
                 exchange.reason = str(error)
                 exchange.disconnected = error.disconnected
-                end = _end_of(attempt, exchange)
+                outcome = _failed_outcome(attempt, exchange)
                 if attempt.state is AttemptState.QUEUED and not isinstance(
                     error, NothingListensError
                 ):
-                    exchange.allow_again(state.id)
+                    exchange.allow_retry(state.id)
         if exchange.silent and not exchange.progress.finished:
             exchange.reason = "the upstream fell silent"
-            end = _end_of(attempt, exchange)
+            outcome = _failed_outcome(attempt, exchange)
             if attempt.state is AttemptState.SENT:
-                self._left(exchange, state, silent=True)
-        return end
+                self._record_abandoned_run(exchange, state, silent=True)
+        return outcome
 
-    def _left(self, exchange: Exchange, state: UpstreamState, *, silent: bool) -> None:
-        """Notes a run whose end the upstream has not told of."""
+    def _record_abandoned_run(
+        self, exchange: Exchange, state: UpstreamState, *, silent: bool
+    ) -> None:
+        """Records a run that the upstream may still be working on."""
         self.silent_runs.left(
             state, RunKind.ONLINE, heard_at=exchange.heard_at, silent=silent
         )
 
-    async def _pass_on(
-        self, exchange: Exchange, state: UpstreamState, answer: UpstreamAnswer
+    async def _forward_response(
+        self, exchange: Exchange, state: UpstreamState, response: UpstreamAnswer
     ) -> AttemptEnd:
-        """Passes an answer on and returns how the attempt ended."""
-        exchange.status = answer.status
-        if answer.other_instance:
+        """Forwards a response and returns the outcome of the attempt."""
+        exchange.status = response.status
+        if response.other_instance:
             state.gone = True
             exchange.reason = "another upstream has the address"
             return AttemptEnd.NOT_RUN
-        if answer.refused:
-            exchange.reason = f"the upstream refused with {answer.status}"
+        if response.refused:
+            exchange.reason = f"the upstream refused with {response.status}"
             state.full_until = trio.current_time() + FULL_S
-            exchange.allow_again(state.id)
+            exchange.allow_retry(state.id)
             return AttemptEnd.NOT_RUN
-        use = use_of(
-            answer,
+        mode = forwarding_mode(
+            response,
             method=exchange.request.method,
             route=exchange.route,
-            begun=exchange.begun,
+            sent_head=exchange.sent_head,
             may_move=exchange.progress.may_move,
         )
-        if isinstance(use, Unfit):
-            exchange.reason = use.reason
-            return exchange.cut()
-        end = await PASS[use](exchange, answer)
-        # Without a length the end of an upstream looks like the end of its answer.
-        exchange.disconnected = end is not AttemptEnd.COMPLETE and not answer.framed
-        return end
-
-    def _judge(
+        if isinstance(mode, UnusableResponse):
+            exchange.reason = mode.reason
+            return exchange.broken_outcome()
+        outcome = await FORWARD_RESPONSE[mode](exchange, response)
+        # Without a length, a crash of the upstream looks like the end of the body.
+        exchange.disconnected = (
+            outcome is not AttemptEnd.COMPLETE and not response.framed
+        )
+        return outcome
+
+    def _record_outcome(
         self,
         exchange: Exchange,
         state: UpstreamState,
         attempt: Attempt,
-        end: AttemptEnd,
+        outcome: AttemptEnd,
     ) -> None:
-        """Notes what an attempt tells of the upstream's health."""
+        """Updates health and crash detection of the upstream."""
         now = trio.current_time()
-        if end is AttemptEnd.COMPLETE:
+        if outcome is AttemptEnd.COMPLETE:
             self.end_watch.note_answer(exchange.request)
         elif attempt.state is not AttemptState.QUEUED and (
             exchange.silent or exchange.disconnected
@@ -325,73 +339,81 @@
             self.end_watch.broke_off(
                 fingerprint,
                 state,
-                began=exchange.sent_at,
+                began=exchange.attempt_started_at,
                 silent=exchange.silent,
-                moved_on_s=exchange.heard_at - exchange.sent_at,
+                moved_on_s=exchange.heard_at - exchange.attempt_started_at,
             )
-        if end is AttemptEnd.NOT_RUN:
+        if outcome is AttemptEnd.NOT_RUN:
             self.end_watch.not_run(exchange.request)
         if attempt.state is AttemptState.QUEUED:
             state.failed(now, reached=False)
             self.end_watch.unreachable(state)
-        elif end in (AttemptEnd.LOST, AttemptEnd.CUT):
+        elif outcome in (AttemptEnd.LOST, AttemptEnd.CUT):
             if not exchange.silent or self.silent_runs.blames(state, exchange.heard_at):
                 state.failed(now)
-        elif end is AttemptEnd.COMPLETE and exchange.status < _SERVER_ERROR:
+        elif (
+            outcome is AttemptEnd.COMPLETE
+            and exchange.status < _FIRST_SERVER_ERROR_STATUS
+        ):
             state.succeeded(now)
-            self._observe(exchange, state, now)
-        elif end is AttemptEnd.COMPLETE and exchange.status != _GATEWAY_TIMEOUT:
+            self._record_latency(exchange, state, now)
+        elif outcome is AttemptEnd.COMPLETE and exchange.status != _GATEWAY_TIMEOUT:
             state.failed(now)
 
-    def _judge_silence(self, exchange: Exchange, state: UpstreamState) -> None:
-        """Notes a stream that was given up after a long silence of the upstream.
+    def _record_stall(self, exchange: Exchange, state: UpstreamState) -> None:
+        """Records a failure if the upstream had stalled when a stream was abandoned.
 
-        Other answers may take as long as the route allows: silence proves nothing.
+        Other responses may take as long as the route allows.
         """
         now = trio.current_time()
-        first = not exchange.progress.started
-        patience_s = first_patience_s if first else gap_patience_s
+        is_first = not exchange.progress.started
+        stall_s = first_event_stall_s if is_first else event_gap_stall_s
         silent_s = now - exchange.heard_at
         streams = exchange.route.kind is RouteKind.STREAM
-        if not streams or silent_s <= patience_s(exchange.route):
+        if not streams or silent_s <= stall_s(exchange.route):
             return
         if self.silent_runs.blames(state, exchange.heard_at):
             state.failed(now)
 
-    def _observe(self, exchange: Exchange, state: UpstreamState, now: float) -> None:
-        """Notes how long a whole answer by one upstream took."""
-        if exchange.first_at < exchange.sent_at:
-            return  # Its first part came from another upstream.
-        demand, service_s = self.placement.demand, now - exchange.sent_at
+    def _record_latency(
+        self, exchange: Exchange, state: UpstreamState, now: float
+    ) -> None:
+        """Records the response times of a complete response."""
+        if exchange.first_byte_at < exchange.attempt_started_at:
+            return  # The response began at another upstream.
+        demand, service_s = self.placement.demand, now - exchange.attempt_started_at
         demand.of(state.upstream.service).answered(service_s=service_s)
         demand.times(exchange.route.name).observe(
-            lead_s=exchange.first_at - exchange.sent_at, service_s=service_s
+            lead_s=exchange.first_byte_at - exchange.attempt_started_at,
+            service_s=service_s,
         )
 
-    def _explain(self, exchange: Exchange, step: NextStep, *, timed_out: bool) -> None:
-        """Logs how a request ended, with what decided it."""
+    def _log_summary(
+        self, exchange: Exchange, step: NextStep, *, timed_out: bool
+    ) -> None:
+        """Reports and logs how a request ended."""
         now = trio.current_time()
         if exchange.progress.finished:
-            # The client may close its connection before the attempt is wound up.
+            # The client may disconnect once it has the whole response.
             step = NextStep.DONE
-        first_s = exchange.first_at - exchange.arrived_at
+        first_s = exchange.first_byte_at - exchange.arrived_at
         self.on_end(
             RequestEnd(
                 route=exchange.route.name,
                 outcome=step.value,
                 tries=exchange.progress.tries + 1,
                 waited_s=exchange.waited_s,
-                first_s=first_s if exchange.first_at else None,
+                first_s=first_s if exchange.first_byte_at else None,
                 total_s=now - exchange.arrived_at,
             )
         )
-        done = step is NextStep.DONE
-        write = _log.info if done else _log.warning
+        succeeded = step is NextStep.DONE
+        write = _log.info if succeeded else _log.warning
         write(
             "Request ended.",
             request=exchange.request.request_id,
-            # What was answered is not looked for by it, and a hash costs time.
-            fingerprint=None if done else shown(exchange.request.fingerprint),
+            # Only failed requests are looked up by fingerprint, and hashing costs time.
+            fingerprint=None if succeeded else shown(exchange.request.fingerprint),
             route=exchange.route.name,
             outcome=step.value,
             upstream=exchange.upstream,
@@ -403,31 +425,35 @@
             last_event=exchange.progress.last_event,
             timed_out=timed_out,
             reason=exchange.reason,
-            retry_after_s=exchange.retry_after_s if step in _REFUSALS else None,
+            retry_after_s=exchange.retry_after_s
+            if step in _STEPS_WITH_RETRY_AFTER
+            else None,
             waited_ms=_ms(exchange.waited_s),
             first_ms=_ms(first_s),
             total_ms=_ms(now - exchange.arrived_at),
-            allowed_ms=_ms(exchange.ends_at - exchange.arrived_at),
+            allowed_ms=_ms(exchange.deadline - exchange.arrived_at),
         )
 
 
 def _retry_after_s(slot: Nowhere | TooLate) -> float:
-    return slot.retry_after_s if isinstance(slot, TooLate) else NOWHERE_RETRY_S
+    return slot.retry_after_s if isinstance(slot, TooLate) else NO_UPSTREAM_RETRY_S
 
 
 def _ms(seconds: float) -> int:
     return max(0, round(seconds * 1000))
 
 
-def _end_of(attempt: Attempt, exchange: Exchange) -> AttemptEnd:
-    """Returns how an attempt ended that broke."""
+def _failed_outcome(attempt: Attempt, exchange: Exchange) -> AttemptEnd:
+    """Returns the outcome of an attempt that failed."""
     if attempt.state is AttemptState.QUEUED:
         return AttemptEnd.NOT_RUN
-    return exchange.cut()
+    return exchange.broken_outcome()
 
 
-async def _conclude(exchange: Exchange, step: NextStep, *, timed_out: bool) -> None:
-    """Gives the final answer where the upstream's own was not passed on."""
+async def _send_final_response(
+    exchange: Exchange, step: NextStep, *, timed_out: bool
+) -> None:
+    """Aborts or refuses where no complete response was forwarded."""
     if step is NextStep.ABORT:
         await exchange.reply.abort()
     elif step is NextStep.REFUSE_AS_NOT_RUN:
--- a/src/coppercleat/serving/_progress.py
+++ b/src/coppercleat/serving/_progress.py
@@ -1,4 +1,4 @@
-"""What may still be done for a request, from how its attempts ended."""
+"""Decides after each attempt whether a request is retried, resumed or ended."""
 
 from __future__ import annotations
 
@@ -12,7 +12,12 @@
 
 
 class AttemptEnd(enum.Enum):
-    """How an attempt at one upstream ended."""
+    """How an attempt at one upstream ended.
+
+    NOT_RUN: the upstream did not begin to run the request. LOST: the attempt failed
+    before any part of a response was forwarded, and the upstream may have run the
+    request. CUT: the attempt failed after a part of a response was forwarded.
+    """
 
     COMPLETE = "complete"
     NOT_RUN = "not_run"
@@ -32,33 +37,34 @@
 
 
 class Passed(enum.Enum):
-    """What the client has of the answer.
+    """How much of the response has been forwarded to the client.
 
-    EVENTS are whole, and a run may go on after the last of them: it has a number, or
-    none with data came before. PLACELESS is all else, after which nothing can go on.
+    EVENTS: complete events, after which another upstream can resume the stream.
+    UNRESUMABLE: a plain body or data without event numbers, which no upstream can
+    resume.
     """
 
     NOTHING = "nothing"
     EVENTS = "events"
-    PLACELESS = "placeless"
+    UNRESUMABLE = "unresumable"
     ALL = "all"
 
 
 MAX_TRIES = 6
-"""Upstreams that may be asked for one request, those that did not run it included;
-bounds the time that a request spends among full or unreachable upstreams."""
+"""Attempts per request, including those that the upstream did not run; bounds the time
+that a request spends on full or unreachable upstreams."""
 
 
 @attrs.define
 class RequestProgress:
-    """Counts the attempts of one request; holds no clock and does no I/O.
+    """Tracks the attempts of one request; performs no I/O and reads no clock.
 
     Attributes:
-      route: The route's rules.
-      tries: Attempts begun.
-      runs: Attempts that may have run.
-      last_event: Number of the last event passed on; None before the first.
-      passed: What the client has of the answer.
+      route: The request's route, which limits retries and resumption.
+      tries: Finished attempts.
+      runs: Attempts in which the upstream may have run the request.
+      last_event: Number of the last forwarded event; None if there is none.
+      passed: How much of the response has been forwarded.
     """
 
     route: Route
@@ -69,47 +75,47 @@
 
     @property
     def started(self) -> bool:
-        """Whether a part of an answer has been passed on."""
+        """Whether any part of a response has been forwarded."""
         return self.passed is not Passed.NOTHING
 
     @property
     def finished(self) -> bool:
-        """Whether all of it has; the client may leave from then on."""
+        """Whether the whole response has been forwarded."""
         return self.passed is Passed.ALL
 
     @property
     def may_have_run(self) -> bool:
-        """Whether any upstream may have begun to work on the request."""
+        """Whether any upstream may have run the request."""
         return self.runs > 0
 
     @property
     def may_move(self) -> bool:
-        """Whether the request could go elsewhere if the attempt now ended."""
-        return _MOVABLE[self.passed](self.route) and self._runs_left
+        """Whether the request may fail over if the current attempt fails."""
+        return _MAY_FAIL_OVER[self.passed](self.route) and self._attempts_left
 
     @property
-    def _runs_left(self) -> bool:
+    def _attempts_left(self) -> bool:
         return self.runs + 1 < self.route.max_attempts and self.tries < MAX_TRIES
 
-    def note_passed(self, events: list[StreamEvent]) -> None:
-        """Counts events that are passed on."""
+    def record_forwarded(self, events: list[StreamEvent]) -> None:
+        """Records events that are about to be forwarded."""
         for event in events:
             if event.number is not None:
                 self.last_event = event.number
                 self.passed = Passed.EVENTS
             elif event.data:
-                self.passed = Passed.PLACELESS
+                self.passed = Passed.UNRESUMABLE
 
-    def after(self, end: AttemptEnd) -> NextStep:
-        """Counts an attempt that ended and returns the next step."""
+    def after(self, outcome: AttemptEnd) -> NextStep:
+        """Records the outcome of an attempt and returns the next step."""
         self.tries += 1
-        movable = self.may_move
-        if end is not AttemptEnd.NOT_RUN:
+        failover_allowed = self.may_move
+        if outcome is not AttemptEnd.NOT_RUN:
             self.runs += 1
-        return _NEXT[end](self, movable)
+        return _NEXT_STEP[outcome](self, failover_allowed)
 
     def give_up(self) -> NextStep:
-        """Returns how to end when nothing more can be tried."""
+        """Returns the final step of a request that gets no further attempt."""
         if self.started:
             return NextStep.ABORT
         return (
@@ -117,28 +123,28 @@
         )
 
 
-_MOVABLE: dict[Passed, Callable[[Route], bool]] = {
+_MAY_FAIL_OVER: dict[Passed, Callable[[Route], bool]] = {
     Passed.NOTHING: lambda route: route.repeatable,
     Passed.EVENTS: lambda route: route.resumes,
-    Passed.PLACELESS: lambda route: False,
+    Passed.UNRESUMABLE: lambda route: False,
     Passed.ALL: lambda route: False,
 }
 
 
-def _after_not_run(progress: RequestProgress, movable: bool) -> NextStep:
+def _after_not_run(progress: RequestProgress, failover_allowed: bool) -> NextStep:
     if progress.tries >= MAX_TRIES:
         return progress.give_up()
     return NextStep.RESUME_ELSEWHERE if progress.started else NextStep.TRY_ELSEWHERE
 
 
-def _after_lost(progress: RequestProgress, movable: bool) -> NextStep:
-    if not movable:
+def _after_lost(progress: RequestProgress, failover_allowed: bool) -> NextStep:
+    if not failover_allowed:
         return progress.give_up()
     return NextStep.RESUME_ELSEWHERE if progress.started else NextStep.TRY_ELSEWHERE
 
 
-_NEXT = {
-    AttemptEnd.COMPLETE: lambda progress, movable: NextStep.DONE,
+_NEXT_STEP = {
+    AttemptEnd.COMPLETE: lambda progress, failover_allowed: NextStep.DONE,
     AttemptEnd.NOT_RUN: _after_not_run,
     AttemptEnd.LOST: _after_lost,
     AttemptEnd.CUT: _after_lost,
--- a/src/coppercleat/serving/_sequence.py
+++ b/src/coppercleat/serving/_sequence.py
@@ -1,4 +1,4 @@
-"""Checks that the events of a run follow on what is already had, one by one."""
+"""Checks that the events of a run are consecutive and continue an earlier run."""
 
 from __future__ import annotations
 
@@ -6,12 +6,13 @@
 
 
 class EventSequence:
-    """Follows the events of one run.
+    """The events of one run.
 
     Attributes:
-      last: Number of the last event, of an earlier run to begin with; None for none.
+      last: Number of the last event, initially of the run that is resumed; None if
+        there is none.
       numbered: Whether every event with data must have a number.
-      length: Events of this run so far; those with neither number nor data are none.
+      length: Events of this run with a number or data.
     """
 
     def __init__(self, last: int | None, *, numbered: bool = False) -> None:
@@ -20,18 +21,18 @@
         self.length = 0
 
     def take(self, events: list[StreamEvent]) -> tuple[list[StreamEvent], bool]:
-        """Returns the events that follow, and whether that is all of them."""
+        """Returns the leading events that are in order, and whether all of them are."""
         for index, event in enumerate(events):
-            if not self._follows(event):
+            if not self._is_next(event):
                 return events[:index], False
         return events, True
 
-    def _follows(self, event: StreamEvent) -> bool:
+    def _is_next(self, event: StreamEvent) -> bool:
         if event.number is None:
-            # Before the first number nothing tells whether the client has it already.
-            placed = self.last is None or self.length > 0
+            # Before the first number of a resumed run, the client may have this data.
+            position_known = self.last is None or self.length > 0
             self.length += bool(event.data)
-            return not event.data or (placed and not self.numbered)
+            return not event.data or (position_known and not self.numbered)
         if self.last is not None and event.number != self.last + 1:
             return False
         self.last = event.number
--- a/src/coppercleat/serving/_silence.py
+++ b/src/coppercleat/serving/_silence.py
@@ -13,30 +13,32 @@
 from coppercleat.serving._upstream_state import UpstreamState
 
 FIRST_EVENT_STALL_S = 0.8
-FIRST_EVENT_STALL_TARGETS = 2.5
+FIRST_EVENT_STALL_TARGET_FACTOR = 2.5
 """Without a first event for this long, or so many times the route's target, a stream
 that may be resumed goes elsewhere. Well past the time to read the longest prompt
 beside a full batch (about 0.1 s)."""
 
-GAP_STALL_S = 0.6
-GAP_STALL_TARGETS = 3.0
+EVENT_GAP_STALL_S = 0.6
+EVENT_GAP_STALL_TARGET_FACTOR = 3.0
 """The same between events, which come some 20 ms apart."""
 
-SILENCE_LOOK_S = 0.05
+CHECK_INTERVAL_S = 0.05
 """Between looks for a slot elsewhere, for a request whose upstream is silent."""
 
-LATE_LOOK_S = 3 * SILENCE_LOOK_S
+LATE_CHECK_S = 3 * CHECK_INTERVAL_S
 """A look that comes so late is left out, once: a busy process looks some ms late."""
 
 
-def first_patience_s(route: Route) -> float:
+def first_event_stall_s(route: Route) -> float:
     """Returns for how long an upstream may be silent before the first event."""
-    return max(FIRST_EVENT_STALL_S, FIRST_EVENT_STALL_TARGETS * route.target_latency_s)
+    return max(
+        FIRST_EVENT_STALL_S, FIRST_EVENT_STALL_TARGET_FACTOR * route.target_latency_s
+    )
 
 
-def gap_patience_s(route: Route) -> float:
+def event_gap_stall_s(route: Route) -> float:
     """Returns for how long an upstream may be silent between events."""
-    return max(GAP_STALL_S, GAP_STALL_TARGETS * route.gap_target_s)
+    return max(EVENT_GAP_STALL_S, EVENT_GAP_STALL_TARGET_FACTOR * route.gap_target_s)
 
 
 async def looks_for_silence() -> AsyncIterator[float]:
@@ -45,18 +47,18 @@
     What came while this process stood still has not been read at a late look, and would
     be taken for silence.
     """
-    looked_at, waited = trio.current_time(), False
+    checked_at, skipped = trio.current_time(), False
     while True:
-        await trio.sleep(SILENCE_LOOK_S)
+        await trio.sleep(CHECK_INTERVAL_S)
         now = trio.current_time()
-        late = now - looked_at > LATE_LOOK_S
-        looked_at = now
-        waited = late and not waited
-        if not waited:
+        late = now - checked_at > LATE_CHECK_S
+        checked_at = now
+        skipped = late and not skipped
+        if not skipped:
             yield now
 
 
-class SilenceWatch:
+class StallDetector:
     """Looks at all open attempts of an instance by turns.
 
     Attributes:
@@ -65,25 +67,25 @@
 
     def __init__(self, placement: Placement) -> None:
         self.placement = placement
-        self._open: dict[Exchange, tuple[UpstreamState, trio.CancelScope]] = {}
+        self._open_attempts: dict[Exchange, tuple[UpstreamState, trio.CancelScope]] = {}
 
     @contextlib.contextmanager
-    def watched(self, exchange: Exchange, state: UpstreamState) -> Iterator[None]:
+    def watching(self, exchange: Exchange, state: UpstreamState) -> Iterator[None]:
         """Has an attempt ended if the upstream is silent and another is not."""
         scope = trio.CancelScope()
         # Other answers may take as long as the route allows: silence proves nothing.
         if exchange.route.kind is RouteKind.STREAM and exchange.progress.may_move:
-            self._open[exchange] = (state, scope)
+            self._open_attempts[exchange] = (state, scope)
         try:
             with scope:
                 yield
         finally:
-            self._open.pop(exchange, None)
+            self._open_attempts.pop(exchange, None)
 
     async def run(self) -> None:
         """Ends attempts at silent upstreams, until cancelled."""
         async for now in looks_for_silence():
-            for exchange, (state, scope) in list(self._open.items()):
+            for exchange, (state, scope) in list(self._open_attempts.items()):
                 if self._has_stalled(exchange, state, now):
                     exchange.silent = True
                     scope.cancel()
@@ -98,9 +100,9 @@
         """
         if exchange.progress.finished:
             return False
-        heard = exchange.heard_at > exchange.sent_at
-        patience_s = gap_patience_s if heard else first_patience_s
-        if now < exchange.heard_at + patience_s(exchange.route):
+        has_received = exchange.heard_at > exchange.attempt_started_at
+        stall_s = event_gap_stall_s if has_received else first_event_stall_s
+        if now < exchange.heard_at + stall_s(exchange.route):
             return False
         if not state.health.may_try(now):
             return True
--- a/src/coppercleat/serving/_silent_moments.py
+++ b/src/coppercleat/serving/_silent_moments.py
@@ -9,11 +9,11 @@
 
 import collections
 
-SAME_MOMENT_S = 0.15
+SAME_ONSET_S = 0.15
 """Silences that began within this time began together: events come 20 ms apart, and a
 run that reads its prompt beside a full batch was last heard of up to 0.1 s before."""
 
-_REMEMBERED = 8
+_MAX_ONSETS = 8
 """Moments that are kept of an upstream; three of them in a row eject it."""
 
 
@@ -21,7 +21,7 @@
     """When silences of one upstream began; the clock is passed in."""
 
     def __init__(self) -> None:
-        self._moments: collections.deque[float] = collections.deque(maxlen=_REMEMBERED)
+        self._onsets: collections.deque[float] = collections.deque(maxlen=_MAX_ONSETS)
 
     def is_new(self, since: float) -> bool:
         """Notes a silence; returns whether none that began with it was noted before.
@@ -29,7 +29,7 @@
         Args:
           since: When the upstream was last heard of.
         """
-        if any(abs(since - moment) < SAME_MOMENT_S for moment in self._moments):
+        if any(abs(since - onset) < SAME_ONSET_S for onset in self._onsets):
             return False
-        self._moments.append(since)
+        self._onsets.append(since)
         return True
--- a/src/coppercleat/serving/_silent_runs.py
+++ b/src/coppercleat/serving/_silent_runs.py
@@ -22,7 +22,7 @@
     ITEM = "item"
 
 
-class OnLeft(Protocol):
+class OnAbandoned(Protocol):
     """Told of a run that may still hold its slot."""
 
     def __call__(self, state: UpstreamState, *, silent: bool) -> None: ...
@@ -37,7 +37,7 @@
     """
 
     def __init__(self) -> None:
-        self.on_left: OnLeft = lambda state, *, silent: None
+        self.on_left: OnAbandoned = lambda state, *, silent: None
         self.on_count: Callable[[str, str], None] = lambda kind, ended: None
 
     def left(
