--- a/bench/link_cost.py
+++ b/bench/link_cost.py
@@ -14,7 +14,7 @@
 
 from bench._report import slope
 from coppercleat.ids import InstanceId, UpstreamId, ZoneId
-from coppercleat.serving import GatewaySettings, Peers, Placement, Upstream
+from coppercleat.serving import GatewayPeers, GatewaySettings, Placement, Upstream
 
 LINKS = (1, 4, 8, 16, 23)
 """Beyond, instances of other zones are no longer told one by one."""
@@ -35,7 +35,7 @@
         return port
 
 
-def make_peers(number: int, ports: list[int]) -> Peers:
+def make_peers(number: int, ports: list[int]) -> GatewayPeers:
     """Returns one instance that knows all others from the list."""
     name = InstanceId(f"front-zone-{number}")
     settings = GatewaySettings(
@@ -57,8 +57,10 @@
         )
         for n in range(14)
     )
-    peers = Peers(settings, placement, incarnation=int(time.time() * 1000), rng=rng)
-    peers.listed(
+    peers = GatewayPeers(
+        settings, placement, incarnation=int(time.time() * 1000), rng=rng
+    )
+    peers.observe_list(
         [
             (InstanceId(f"front-zone-{n}"), f"127.0.0.1:{port}", ZoneId("z"))
             for n, port in enumerate(ports)
@@ -67,7 +69,7 @@
     return peers
 
 
-async def work(peers: Peers, starts_per_s: float, rng: random.Random) -> None:
+async def work(peers: GatewayPeers, starts_per_s: float, rng: random.Random) -> None:
     """Starts and ends requests until cancelled."""
     states = list(peers.placement.states.values())
     async with trio.open_nursery() as nursery:
--- a/src/coppercleat/gateway/_gateway.py
+++ b/src/coppercleat/gateway/_gateway.py
@@ -25,21 +25,21 @@
 )
 from coppercleat.routing import ranked
 from coppercleat.serving import (
+    AbandonedAttempts,
     Admission,
     AdmissionQueue,
     Catalogue,
     Forwarder,
+    GatewayPeers,
     GatewaySettings,
+    LoadProber,
     OnlineRequest,
-    Peers,
     Placement,
     Refusal,
     RefusalReason,
     Reply,
     Route,
     RouteTable,
-    SilentRuns,
-    Survey,
     UpstreamCaller,
     UpstreamState,
     Waiting,
@@ -102,7 +102,7 @@
             boot=self.boot,
             rng=self.rng,
         )
-        self.peers = Peers(
+        self.peers = GatewayPeers(
             settings,
             self.placement,
             incarnation=time.time_ns() // 1_000_000,
@@ -116,8 +116,8 @@
             on_change=self._work_changed,
             on_waiting=lambda: self.peers.work_changed(urgent=True),
         )
-        self.survey = Survey(self.placement, caller, rng=self.rng)
-        self.silent_runs = SilentRuns()
+        self.load_prober = LoadProber(self.placement, caller, rng=self.rng)
+        self.abandoned_attempts = AbandonedAttempts()
         self.end_watch = EndWatch(life_question(caller))
         self.end_keeper = EndKeeper(
             self.end_watch.ledger, clock=time.time, keeps=self._keeps
@@ -126,7 +126,7 @@
             self.admission,
             caller,
             on_end=metrics.request_ended,
-            silent_runs=self.silent_runs,
+            abandoned_attempts=self.abandoned_attempts,
             end_watch=self.end_watch,
         )
         self.job_index = JobIndex(platform)
@@ -137,7 +137,7 @@
             instance=settings.instance,
             on_change=self._work_changed,
             on_end=metrics.item_run_ended,
-            silent_runs=self.silent_runs,
+            abandoned_attempts=self.abandoned_attempts,
             end_watch=self.end_watch,
         )
         self.worker = JobWorker(
@@ -152,7 +152,7 @@
             holds_lease=self.watch.holds_lease,
             isolated=self._isolated,
             pause_s=lambda: jobs_pause_s(self.settings, self.watch.instances),
-            on_taken=self.peers.job_taken,
+            on_taken=self.peers.announce_job_takeover,
             on_commit=metrics.committed,
         )
         self.sweeper = Sweeper(
@@ -175,30 +175,30 @@
 
     def _connect(self) -> None:
         """Tells each part whom to ask and whom to tell."""
-        self.watch.on_members = self.peers.listed
+        self.watch.on_members = self.peers.observe_list
         self.peers.version = lambda: self.watch.version
-        self.peers.starved = self.watch.starved
-        self.peers.knowledge = self.watch.knowledge
-        self.peers.on_knowledge = self.watch.take_knowledge
-        self.peers.on_counts = self._counts_changed
-        self.peers.waits = self._waits
+        self.peers.needs_routes = self.watch.needs_routes
+        self.peers.routes_snapshot = self.watch.routes_snapshot
+        self.peers.on_routes_snapshot = self.watch.adopt_routes_snapshot
+        self.peers.on_counts_changed = self._counts_changed
+        self.peers.has_waiting = self._waits
         self.peers.waiting = self._waiting
         # Runs of a peer that is gone may go on; their upstreams can tell.
-        self.peers.on_peer_dropped = self.survey.doubt
-        self.peers.on_taken = self.worker.taken_elsewhere
-        self.peers.on_handover = self.worker.handed_over
+        self.peers.on_counts_expired = self.load_prober.mark_uncertain
+        self.peers.on_job_takeover = self.worker.taken_elsewhere
+        self.peers.on_job_handover = self.worker.handed_over
         self.watch.kept_ends = self.end_keeper.to_keep
         self.watch.on_kept_ends = self.end_keeper.take_kept
-        self.peers.ends = self._ends
-        self.peers.on_ends = self._hear_of_ends
-        self.end_watch.on_news = self.peers.ends_found
+        self.peers.crash_reports = self._ends
+        self.peers.on_crash_update = self._hear_of_ends
+        self.end_watch.on_news = self.peers.announce_crashes
         self.end_watch.on_ended = self.placement.note_end
         self.end_watch.on_withdrawn = self.placement.take_back_end
         self.end_watch.may_try = self._tries
         self.end_watch.on_barred = self.metrics.request_barred
-        self.survey.on_change = self._unknown_changed
-        self.silent_runs.on_left = self.survey.left_unheard
-        self.silent_runs.on_count = self.metrics.run_silent
+        self.load_prober.on_change = self._unknown_changed
+        self.abandoned_attempts.on_abandoned = self.load_prober.record_abandoned_attempt
+        self.abandoned_attempts.on_count = self.metrics.run_silent
 
     def _hear_of_ends(self, sender: InstanceId, seen: EndsSeen) -> bool:
         return self.end_watch.take_news(sender, seen.ends, seen.cleared)
@@ -208,7 +208,7 @@
 
     def _ranked(self, fingerprint: Fingerprint) -> list[str]:
         """Returns all living instances, in an order that they agree on."""
-        living = [self.settings.instance, *self.peers.others()]
+        living = [self.settings.instance, *self.peers.live_peers()]
         return ranked(shown(fingerprint), living)
 
     def _tries(self, fingerprint: Fingerprint, overdue_s: float) -> bool:
@@ -250,7 +250,7 @@
         """Whether neither the store nor any other instance can be heard."""
         if self.watch.holds_lease() or not self.watch.others_known:
             return False
-        return not self.peers.others()
+        return not self.peers.live_peers()
 
     def _quota_of(self, host: str, path: str) -> str | None:
         """Returns the prefix whose quota counts a job's tokens, None for none."""
@@ -271,8 +271,8 @@
             nursery.start_soon(self.watch.run)
             nursery.start_soon(self.peers.run)
             nursery.start_soon(self.admission.run)
-            nursery.start_soon(self.forwarder.silence.run)
-            nursery.start_soon(self.survey.run)
+            nursery.start_soon(self.forwarder.stall_detector.run)
+            nursery.start_soon(self.load_prober.run)
             nursery.start_soon(self.end_watch.run)
             nursery.start_soon(self.items.end_silent)
             nursery.start_soon(self.worker.run)
@@ -301,11 +301,11 @@
         metrics.waiting.set({}, len(self.admission.queue))
         metrics.late_items.set({}, self.worker.late_items())
         metrics.route_version.set({}, self.watch.version)
-        metrics.peers.set({}, len(self.peers.others()))
+        metrics.peers.set({}, len(self.peers.live_peers()))
         metrics.links_reopened.set({}, self.peers.messenger.links.reopened)
         metrics.links_mended.set({}, self.peers.messenger.mended)
         metrics.links_silent.set({}, len(self.peers.messenger.watch.silent()))
-        metrics.peers_silent.set({}, self.peers.silenced)
+        metrics.peers_silent.set({}, self.peers.expired_counts)
         for reason, count in self.peers.dropped.counts.items():
             metrics.garbage.set({"reason": reason}, count)
         quarantined = self.end_watch.ledger.quarantined(now=trio.current_time())
--- a/src/coppercleat/gateway/_metrics.py
+++ b/src/coppercleat/gateway/_metrics.py
@@ -5,7 +5,7 @@
 import aioprometheus
 from aioprometheus.collectors import Registry
 
-from coppercleat.serving import RequestEnd
+from coppercleat.serving import RequestSummary
 
 _SECONDS = [
     0.01, 0.02, 0.035, 0.05, 0.075, 0.1, 0.15, 0.2, 0.3, 0.5, 0.75, 1.0, 2.0, 5.0, 10.0,
@@ -96,7 +96,7 @@
         self.owned_jobs = self._gauge("owned_jobs", "Jobs that this instance runs")
         self.late_jobs = self._gauge("late_jobs", "Owned jobs past their due time")
 
-    def request_ended(self, end: RequestEnd) -> None:
+    def request_ended(self, end: RequestSummary) -> None:
         """Counts a request that has ended."""
         route = {"route": end.route}
         self.requests.inc({**route, "outcome": end.outcome})
--- a/src/coppercleat/jobs/_items.py
+++ b/src/coppercleat/jobs/_items.py
@@ -15,8 +15,10 @@
 from coppercleat.observability import part_logger
 from coppercleat.quarantine import FREE, EndWatch, Standing, Verdict, shown
 from coppercleat.serving import (
+    AbandonedAttempts,
+    AttemptKind,
     EventSequence,
-    EventSplitter,
+    EventStreamParser,
     Nowhere,
     OnlineRequest,
     Patience,
@@ -24,17 +26,15 @@
     Placement,
     Rank,
     Route,
-    RunKind,
-    SilentRuns,
-    UpstreamAnswer,
-    UpstreamBrokeError,
     UpstreamCaller,
+    UpstreamCallError,
+    UpstreamResponse,
     UpstreamState,
-    head_of,
+    incompleteness_reason,
     is_event_stream,
     life_question,
-    looks_for_silence,
-    why_incomplete,
+    response_head,
+    stall_check_times,
 )
 from coppercleat.upstreams import Attempt, AttemptState
 
@@ -100,7 +100,7 @@
         instance: InstanceId,
         on_change: Callable[[UpstreamState, bool], None],
         on_end: Callable[[str], None],
-        silent_runs: SilentRuns | None = None,
+        abandoned_attempts: AbandonedAttempts | None = None,
         end_watch: EndWatch[UpstreamState] | None = None,
     ) -> None:
         """Prepares the runner.
@@ -111,13 +111,13 @@
           instance: This instance's id, to agree with peers on who cuts.
           on_change: Told of each run that starts (True) or ends (False).
           on_end: Told how each run ended.
-          silent_runs: Told of runs that were left while unheard; None for its own.
+          abandoned_attempts: Records abandoned attempts; None for its own.
           end_watch: Knows requests that end their upstreams; None for its own.
         """
         self.placement = placement
         self.caller = caller
         self.instance = instance
-        self.silent_runs = silent_runs or SilentRuns()
+        self.abandoned_attempts = abandoned_attempts or AbandonedAttempts()
         self.end_watch = end_watch or EndWatch(life_question(caller))
         self.bar = ItemBar(self.end_watch, placement)
         self.on_change = on_change
@@ -245,7 +245,7 @@
         )
         self._note_end(running, attempt, end)
         if end in (ItemEnd.BROKEN, ItemEnd.FAILED):
-            if running.silent_since is None or self.silent_runs.blames(
+            if running.silent_since is None or self.abandoned_attempts.counts_against(
                 state, running.silent_since
             ):
                 _judge_failure(state, attempt)
@@ -314,7 +314,7 @@
                     resume_after=item.last_event,
                 ) as answer:
                     end = await _collect(running, answer)
-            except UpstreamBrokeError as error:
+            except UpstreamCallError as error:
                 running.disconnected = error.disconnected
                 _log.info(
                     "Item broke off.",
@@ -335,16 +335,16 @@
             silent = running.stall.cancelled_caught
             if attempt.state is AttemptState.SENT and (silent or cut):
                 running.silent_since = running.heard_at if silent else None
-                self.silent_runs.left(
+                self.abandoned_attempts.record(
                     running.state,
-                    RunKind.ITEM,
-                    heard_at=running.heard_at,
-                    silent=silent,
+                    AttemptKind.ITEM,
+                    last_received_at=running.heard_at,
+                    stalled=silent,
                 )
 
     async def end_silent(self) -> None:
         """Ends runs at upstreams that have fallen silent, until cancelled."""
-        async for now in looks_for_silence():
+        async for now in stall_check_times():
             for running in self._running:
                 if running.heard_at and now - running.heard_at > STALL_S:
                     running.stall.cancel()
@@ -379,14 +379,14 @@
             running.scope.cancel()
 
 
-async def _collect(running: Running, answer: UpstreamAnswer) -> ItemEnd:
+async def _collect(running: Running, answer: UpstreamResponse) -> ItemEnd:
     """Takes an item's events and returns how the run ended.
 
     Raises:
-      UpstreamBrokeError: The run is not complete, or not one of this item.
+      UpstreamCallError: The run is not complete, or not one of this item.
     """
     item = running.item
-    if answer.other_instance:
+    if answer.wrong_upstream:
         running.state.gone = True
         return ItemEnd.NOT_RUN
     if answer.refused:
@@ -396,12 +396,12 @@
     if answer.status == _FAILED:
         return ItemEnd.FAILED
     if answer.status != 200:
-        raise UpstreamBrokeError(f"the upstream answered {answer.status}")
+        raise UpstreamCallError(f"the upstream answered {answer.status}")
     if not is_event_stream(answer):
-        raise UpstreamBrokeError("no stream of events")
-    media_type = head_of(answer).media_type
-    splitter = EventSplitter()
-    sequence = EventSequence(item.last_event, numbered=True)
+        raise UpstreamCallError("no stream of events")
+    media_type = response_head(answer).media_type
+    splitter = EventStreamParser()
+    sequence = EventSequence(item.last_event, require_numbers=True)
     async for data in answer.body:
         whole, in_order = sequence.take(splitter.feed(data))
         for event in whole:
@@ -411,14 +411,14 @@
                 item.media_type = media_type
                 running.heard_at = trio.current_time()
         if not in_order:
-            raise UpstreamBrokeError("an event is out of order")
-    if incomplete := why_incomplete(
-        splitter, sequence, framed=answer.framed, may_move=True
+            raise UpstreamCallError("an event is out of order")
+    if incomplete := incompleteness_reason(
+        splitter, sequence, self_delimited=answer.self_delimited, may_fail_over=True
     ):
-        raise UpstreamBrokeError(incomplete)
+        raise UpstreamCallError(incomplete)
     # Any empty answer would else pass for a run that went on after the last event.
-    if not sequence.length and media_type != item.media_type:
-        raise UpstreamBrokeError("what was to go on with a stream is of another kind")
+    if not sequence.event_count and media_type != item.media_type:
+        raise UpstreamCallError("what was to go on with a stream is of another kind")
     return ItemEnd.COMPLETE
 
 
--- a/src/coppercleat/platform/_upstream_calls.py
+++ b/src/coppercleat/platform/_upstream_calls.py
@@ -17,12 +17,12 @@
 from coppercleat.platform._names import CONNECTION_HEADERS, HeaderName, Path
 from coppercleat.serving import (
     Header,
-    NothingListensError,
     OnlineRequest,
     Upstream,
-    UpstreamAnswer,
-    UpstreamBrokeError,
+    UpstreamCallError,
+    UpstreamNotListeningError,
     UpstreamReport,
+    UpstreamResponse,
 )
 from coppercleat.storage import BAD_BYTES
 from coppercleat.upstreams import (
@@ -93,8 +93,8 @@
                 body = msgspec.json.decode(response.content, type=_ReportBody)
             except (*_BROKEN, *BAD_BYTES, trio.TooSlowError) as error:
                 if nothing_listens(error):
-                    raise NothingListensError("no report: refused") from error
-                raise UpstreamBrokeError(f"no report: {error!r}") from error
+                    raise UpstreamNotListeningError("no report: refused") from error
+                raise UpstreamCallError(f"no report: {error!r}") from error
         return UpstreamReport(
             running=body.running, waiting=body.queued, born_ms=body.born
         )
@@ -108,7 +108,7 @@
         attempt: Attempt,
         allowed_s: float | None,
         resume_after: int | None,
-    ) -> AsyncIterator[UpstreamAnswer]:
+    ) -> AsyncIterator[UpstreamResponse]:
         """See ``UpstreamCaller.exchange``."""
         url = _url(upstream, request.target)
         connection = _connection_to(url)
@@ -167,7 +167,7 @@
 
 def _answer(
     request: OnlineRequest, response: httpcore.Response, attempt: Attempt
-) -> UpstreamAnswer:
+) -> UpstreamResponse:
     """Takes the head of an answer apart."""
     by_name = {name.lower(): value for name, value in response.headers}
     other = response.status == _MISDIRECTED
@@ -178,19 +178,19 @@
         echoed = by_name.get(HeaderName.REQUEST_ID, b"").decode("latin-1")
         if echoed != request.request_id:
             attempt.move(AttemptState.LOST)
-            raise UpstreamBrokeError("the answer belongs to another request")
+            raise UpstreamCallError("the answer belongs to another request")
     headers = [
         (name, value)
         for name, value in response.headers
         if name.lower() not in CONNECTION_HEADERS
     ]
-    return UpstreamAnswer(
+    return UpstreamResponse(
         status=response.status,
         headers=headers,
         refused=refused,
-        other_instance=other,
+        wrong_upstream=other,
         body=_body(response, attempt),
-        framed=b"content-length" in by_name or b"transfer-encoding" in by_name,
+        self_delimited=b"content-length" in by_name or b"transfer-encoding" in by_name,
     )
 
 
@@ -200,19 +200,17 @@
             yield data
     except _BROKEN as error:
         kind = type(error).__name__
-        raise UpstreamBrokeError(
+        raise UpstreamCallError(
             f"the answer was cut: {kind}", disconnected=True
         ) from error
     if attempt.state is AttemptState.SENT:
         attempt.move(AttemptState.ANSWERED)
 
 
-def _broke(
-    upstream: Upstream, error: Exception, attempt: Attempt
-) -> UpstreamBrokeError:
+def _broke(upstream: Upstream, error: Exception, attempt: Attempt) -> UpstreamCallError:
     if attempt.state is AttemptState.SENT:
         attempt.move(AttemptState.LOST)
-    kind = NothingListensError if nothing_listens(error) else UpstreamBrokeError
+    kind = UpstreamNotListeningError if nothing_listens(error) else UpstreamCallError
     return kind(
         f"{upstream.id} at {upstream.address}: {type(error).__name__} {error}",
         disconnected=True,
--- a/src/coppercleat/serving/__init__.py
+++ b/src/coppercleat/serving/__init__.py
@@ -7,10 +7,10 @@
     TooLate,
     Waiter,
 )
-from coppercleat.serving._answer_use import EVENT_STREAM, head_of, is_event_stream
-from coppercleat.serving._answers import why_incomplete
+from coppercleat.serving._answer_use import EVENT_STREAM, is_event_stream, response_head
+from coppercleat.serving._answers import incompleteness_reason
 from coppercleat.serving._demand import AnswerTimes, Demand
-from coppercleat.serving._events import EventSplitter, StreamEvent
+from coppercleat.serving._events import EventStreamParser, StreamEvent
 from coppercleat.serving._fleet_order import (
     FleetOrder,
     Patience,
@@ -18,7 +18,7 @@
     Rank,
     Waiting,
 )
-from coppercleat.serving._forwarding import Forwarder, RequestEnd
+from coppercleat.serving._forwarding import Forwarder, RequestSummary
 from coppercleat.serving._life_question import life_question
 from coppercleat.serving._model import (
     ClientLimits,
@@ -42,27 +42,32 @@
     routes_pause_s,
     upstreams_pause_s,
 )
-from coppercleat.serving._peers import ItemEvents, Peers, WorkInFlight, ZoneWork
+from coppercleat.serving._peers import (
+    GatewayPeers,
+    ItemEvents,
+    WorkInFlight,
+    ZoneWorkInFlight,
+)
 from coppercleat.serving._placement import Nowhere, Placement
 from coppercleat.serving._progress import (
-    AttemptEnd,
+    AttemptOutcome,
+    ForwardedPart,
     NextStep,
-    Passed,
     RequestProgress,
 )
 from coppercleat.serving._results import RecentResults
 from coppercleat.serving._sequence import EventSequence
-from coppercleat.serving._silence import looks_for_silence
-from coppercleat.serving._silent_moments import SilentMoments
-from coppercleat.serving._silent_runs import RunKind, SilentRuns
-from coppercleat.serving._survey import Survey
+from coppercleat.serving._silence import stall_check_times
+from coppercleat.serving._silent_moments import StallOnsets
+from coppercleat.serving._silent_runs import AbandonedAttempts, AttemptKind
+from coppercleat.serving._survey import LoadProber
 from coppercleat.serving._unknown_runs import believed_runs
 from coppercleat.serving._upstream_call import (
-    NothingListensError,
-    UpstreamAnswer,
-    UpstreamBrokeError,
     UpstreamCaller,
+    UpstreamCallError,
+    UpstreamNotListeningError,
     UpstreamReport,
+    UpstreamResponse,
 )
 from coppercleat.serving._upstream_state import UpstreamState
 from coppercleat.serving._watch import Catalogue, UpstreamList, Watch
@@ -74,12 +79,12 @@
     "Admission",
     "AdmissionQueue",
     "AnswerTimes",
-    "AttemptEnd",
+    "AttemptOutcome",
     "Catalogue",
     "ClientLimits",
     "Demand",
     "EventSequence",
-    "EventSplitter",
+    "EventStreamParser",
     "FleetOrder",
     "Forwarder",
     "GatewaySettings",
@@ -87,12 +92,12 @@
     "InFlight",
     "ItemEvents",
     "NextStep",
-    "NothingListensError",
+    "UpstreamNotListeningError",
     "Nowhere",
     "OnlineRequest",
-    "Passed",
+    "ForwardedPart",
     "Patience",
-    "Peers",
+    "GatewayPeers",
     "Place",
     "Placement",
     "Rank",
@@ -100,23 +105,23 @@
     "Refusal",
     "RefusalReason",
     "Reply",
-    "RequestEnd",
+    "RequestSummary",
     "RequestProgress",
     "Route",
     "RouteConfig",
     "RouteKind",
     "RouteTable",
-    "RunKind",
-    "SilentMoments",
-    "SilentRuns",
+    "AttemptKind",
+    "StallOnsets",
+    "AbandonedAttempts",
     "StoreRates",
     "StreamEvent",
-    "Survey",
+    "LoadProber",
     "Target",
     "TooLate",
     "Upstream",
-    "UpstreamAnswer",
-    "UpstreamBrokeError",
+    "UpstreamResponse",
+    "UpstreamCallError",
     "UpstreamCaller",
     "UpstreamList",
     "UpstreamReport",
@@ -126,16 +131,16 @@
     "Watch",
     "WorkCounts",
     "WorkInFlight",
-    "ZoneWork",
-    "head_of",
+    "ZoneWorkInFlight",
+    "response_head",
     "is_event_stream",
     "believed_runs",
     "jobs_pause_s",
     "lease_s",
     "life_question",
-    "looks_for_silence",
+    "stall_check_times",
     "renewal_pause_s",
     "routes_pause_s",
     "upstreams_pause_s",
-    "why_incomplete",
+    "incompleteness_reason",
 ]
--- a/src/coppercleat/serving/_answer_use.py
+++ b/src/coppercleat/serving/_answer_use.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from coppercleat.serving._model import Route, RouteKind
-from coppercleat.serving._upstream_call import UpstreamAnswer
+from coppercleat.serving._upstream_call import UpstreamResponse
 
 EVENT_STREAM = b"text/event-stream"
 _IDENTITY_ENCODINGS = frozenset({b"", b"identity"})
@@ -46,31 +46,31 @@
     media_type: bytes
 
 
-def head_of(response: UpstreamAnswer) -> ResponseHead:
+def response_head(response: UpstreamResponse) -> ResponseHead:
     """Returns the status and media type of a response."""
     media_type = response.header(b"content-type").partition(b";")[0].strip().lower()
     return ResponseHead(response.status, media_type)
 
 
-def is_event_stream(response: UpstreamAnswer) -> bool:
+def is_event_stream(response: UpstreamResponse) -> bool:
     """Returns whether the headers allow the body to be parsed as an event stream.
 
     A response without a content type is accepted, and its body decides.
     """
     encoding = response.header(b"content-encoding").strip().lower()
-    return encoding in _IDENTITY_ENCODINGS and head_of(response).media_type in (
+    return encoding in _IDENTITY_ENCODINGS and response_head(response).media_type in (
         b"",
         EVENT_STREAM,
     )
 
 
 def forwarding_mode(
-    response: UpstreamAnswer,
+    response: UpstreamResponse,
     *,
     method: str,
     route: Route,
     sent_head: ResponseHead | None,
-    may_move: bool,
+    may_fail_over: bool,
 ) -> ForwardingMode | UnusableResponse:
     """Returns how to forward a response, or why it must not be forwarded.
 
@@ -79,7 +79,7 @@
       method: The HTTP method of the request.
       route: The route of the request.
       sent_head: Head that has been sent to the client; None if there is none.
-      may_move: Whether the request may fail over to another upstream.
+      may_fail_over: Whether the request may fail over to another upstream.
     """
     if sent_head is not None:
         return _resumed_mode(response, sent_head)
@@ -87,7 +87,7 @@
         return UnusableResponse(f"{response.status} is no final answer")
     if response.status in _NOT_RUN_STATUSES:
         return UnusableResponse(f"{response.status} does not say whether it was run")
-    if response.status >= _FIRST_SERVER_ERROR_STATUS and may_move:
+    if response.status >= _FIRST_SERVER_ERROR_STATUS and may_fail_over:
         return UnusableResponse(f"the upstream answered {response.status}")
     if route.kind is not RouteKind.STREAM or not _has_success_body(response, method):
         return ForwardingMode.BODY
@@ -99,9 +99,9 @@
 
 
 def _resumed_mode(
-    response: UpstreamAnswer, sent_head: ResponseHead
+    response: UpstreamResponse, sent_head: ResponseHead
 ) -> ForwardingMode | UnusableResponse:
-    head = head_of(response)
+    head = response_head(response)
     if head.status != sent_head.status:
         return UnusableResponse(
             f"the upstream answered {response.status} to go on with a stream"
@@ -111,6 +111,6 @@
     return ForwardingMode.EVENTS
 
 
-def _has_success_body(response: UpstreamAnswer, method: str) -> bool:
+def _has_success_body(response: UpstreamResponse, method: str) -> bool:
     has_no_body = method == "HEAD" or response.status in _BODILESS_STATUSES
     return response.status < _FIRST_REDIRECT_STATUS and not has_no_body
--- a/src/coppercleat/serving/_events.py
+++ b/src/coppercleat/serving/_events.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from coppercleat.serving._upstream_call import UpstreamBrokeError
+from coppercleat.serving._upstream_call import UpstreamCallError
 
 _BLANK_LINE = re.compile(rb"\r?\n\r?\n")
 _MAX_EVENT_BYTES = 4_000_000
@@ -27,14 +27,14 @@
     data: bytes
 
 
-class EventSplitter:
+class EventStreamParser:
     """Incremental parser of an event stream."""
 
     def __init__(self) -> None:
         self._rest = b""
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """Bytes after the last complete event."""
         return self._rest
 
@@ -42,7 +42,7 @@
         """Parses a chunk and returns the events that it completes.
 
         Raises:
-          UpstreamBrokeError: An event is too long.
+          UpstreamCallError: An event is too long.
         """
         buffer = self._rest + data
         events = []
@@ -52,7 +52,7 @@
             start = blank.end()
         self._rest = buffer[start:]
         if len(self._rest) > _MAX_EVENT_BYTES:
-            raise UpstreamBrokeError(f"an event exceeds {_MAX_EVENT_BYTES} bytes")
+            raise UpstreamCallError(f"an event exceeds {_MAX_EVENT_BYTES} bytes")
         return events
 
 
--- a/src/coppercleat/serving/_exchange.py
+++ b/src/coppercleat/serving/_exchange.py
@@ -7,10 +7,10 @@
 
 from coppercleat.ids import UpstreamId
 from coppercleat.serving._admission_queue import RETRY_AFTER_S
-from coppercleat.serving._answer_use import ResponseHead, head_of
+from coppercleat.serving._answer_use import ResponseHead, response_head
 from coppercleat.serving._model import OnlineRequest, Reply, Route
-from coppercleat.serving._progress import AttemptEnd, Passed, RequestProgress
-from coppercleat.serving._upstream_call import UpstreamAnswer
+from coppercleat.serving._progress import AttemptOutcome, ForwardedPart, RequestProgress
+from coppercleat.serving._upstream_call import UpstreamResponse
 
 
 @attrs.define(eq=False)
@@ -26,13 +26,13 @@
       reason: Why the last attempt failed or the request was rejected; may reach the
         client.
       first_byte_at: When the first byte was forwarded; 0 before that.
-      heard_at: When the attempt began or its last event arrived.
+      last_received_at: When the attempt began or its last event arrived.
       attempt_started_at: When the attempt began.
       status: HTTP status of the attempt's response; 0 before one arrives.
       sent_head: Head that has been sent to the client; None before that.
       load: Estimated runs at the upstream when the attempt began, including this one.
       tellers: Number of other instances whose counts were known when the attempt began.
-      silent: Whether the attempt was ended because the upstream stalled.
+      stalled: Whether the attempt was ended because the upstream stalled.
       disconnected: Whether the attempt failed because its connection broke.
       waited_s: Seconds spent in the queue for slots, over all attempts.
       retry_after_s: Delay to suggest to the client if the request was not run.
@@ -49,13 +49,13 @@
     reason: str = ""
     arrived_at: float = 0.0
     first_byte_at: float = 0.0
-    heard_at: float = 0.0
+    last_received_at: float = 0.0
     attempt_started_at: float = 0.0
     status: int = 0
     sent_head: ResponseHead | None = None
     load: int = 0
     tellers: int = 0
-    silent: bool = False
+    stalled: bool = False
     disconnected: bool = False
     waited_s: float = 0.0
     retry_after_s: float = RETRY_AFTER_S
@@ -66,7 +66,9 @@
             self.retried_upstream = upstream
             self.tried.discard(upstream)
 
-    async def send_head(self, response: UpstreamAnswer, passed: Passed) -> None:
+    async def send_head(
+        self, response: UpstreamResponse, forwarded: ForwardedPart
+    ) -> None:
         """Sends the head of the first response; later ones continue its body.
 
         A resumable stream gets no content length, since the bytes of a resuming run may
@@ -74,20 +76,20 @@
         """
         if self.sent_head is not None:
             return
-        self.sent_head = head_of(response)
-        self.progress.passed = passed
+        self.sent_head = response_head(response)
+        self.progress.forwarded = forwarded
         self.first_byte_at = trio.current_time()
         headers = response.headers
-        if passed is Passed.EVENTS and self.route.resumes:
+        if forwarded is ForwardedPart.EVENTS and self.route.resumes:
             headers = [h for h in headers if h[0].lower() != b"content-length"]
         await self.reply.start(response.status, headers)
 
-    async def finish(self) -> AttemptEnd:
+    async def finish(self) -> AttemptOutcome:
         """Ends the response as complete."""
-        self.progress.passed = Passed.ALL
+        self.progress.forwarded = ForwardedPart.ALL
         await self.reply.finish()
-        return AttemptEnd.COMPLETE
+        return AttemptOutcome.COMPLETE
 
-    def broken_outcome(self) -> AttemptEnd:
+    def broken_outcome(self) -> AttemptOutcome:
         """Returns the outcome of a failed attempt that the upstream may have run."""
-        return AttemptEnd.CUT if self.progress.started else AttemptEnd.LOST
+        return AttemptOutcome.CUT if self.progress.started else AttemptOutcome.LOST
--- a/src/coppercleat/serving/_forwarding.py
+++ b/src/coppercleat/serving/_forwarding.py
@@ -24,18 +24,18 @@
     RouteKind,
 )
 from coppercleat.serving._placement import FULL_S, Nowhere
-from coppercleat.serving._progress import AttemptEnd, NextStep, RequestProgress
+from coppercleat.serving._progress import AttemptOutcome, NextStep, RequestProgress
 from coppercleat.serving._silence import (
     StallDetector,
     event_gap_stall_s,
     first_event_stall_s,
 )
-from coppercleat.serving._silent_runs import RunKind, SilentRuns
+from coppercleat.serving._silent_runs import AbandonedAttempts, AttemptKind
 from coppercleat.serving._upstream_call import (
-    NothingListensError,
-    UpstreamAnswer,
-    UpstreamBrokeError,
     UpstreamCaller,
+    UpstreamCallError,
+    UpstreamNotListeningError,
+    UpstreamResponse,
 )
 from coppercleat.serving._upstream_state import UpstreamState
 from coppercleat.upstreams import Attempt, AttemptState
@@ -61,7 +61,7 @@
 
 
 @attrs.define(frozen=True, kw_only=True)
-class RequestEnd:
+class RequestSummary:
     """Summary of a finished request, for metrics.
 
     Attributes:
@@ -85,7 +85,7 @@
     """Forwards the requests of online routes.
 
     Attributes:
-      silence: Ends attempts at stalled upstreams; the instance must run its ``run``.
+      stall_detector: Ends stalled attempts; the instance must run its ``run``.
     """
 
     def __init__(
@@ -93,8 +93,8 @@
         admission: Admission,
         caller: UpstreamCaller,
         *,
-        on_end: Callable[[RequestEnd], None],
-        silent_runs: SilentRuns | None = None,
+        on_end: Callable[[RequestSummary], None],
+        abandoned_attempts: AbandonedAttempts | None = None,
         end_watch: EndWatch[UpstreamState] | None = None,
     ) -> None:
         """Initializes the forwarder.
@@ -103,15 +103,15 @@
           admission: Assigns slots to requests.
           caller: Sends requests to upstreams.
           on_end: Called with the summary of each request.
-          silent_runs: Records abandoned runs; None for a new one.
+          abandoned_attempts: Records abandoned runs; None for a new one.
           end_watch: Detects requests under which upstreams crash; None for a new one.
         """
         self.admission = admission
         self.placement = admission.queue.placement
         self.caller = caller
         self.on_end = on_end
-        self.silence = StallDetector(self.placement)
-        self.silent_runs = silent_runs or SilentRuns()
+        self.stall_detector = StallDetector(self.placement)
+        self.abandoned_attempts = abandoned_attempts or AbandonedAttempts()
         self.end_watch = end_watch or EndWatch(life_question(caller))
 
     async def forward(
@@ -160,7 +160,7 @@
                 if not admission_verdict.may_run:
                     return self._reject(exchange, admission_verdict)
                 outcome = await self._attempt(exchange, slot)
-            step = exchange.progress.after(outcome)
+            step = exchange.progress.next_step(outcome)
             if step not in (NextStep.TRY_ELSEWHERE, NextStep.RESUME_ELSEWHERE):
                 return step
             _log.info(
@@ -207,7 +207,7 @@
         # A stream has a target for its first event and one for each gap after it.
         due_at = exchange.arrived_at + route.target_latency_s
         if exchange.progress.started:
-            due_at = exchange.heard_at + route.gap_target_s
+            due_at = exchange.last_received_at + route.gap_target_s
         streams = route.kind is RouteKind.STREAM
         return Waiter(
             service=service,
@@ -219,11 +219,13 @@
             verdict=verdict,
         )
 
-    async def _attempt(self, exchange: Exchange, state: UpstreamState) -> AttemptEnd:
+    async def _attempt(
+        self, exchange: Exchange, state: UpstreamState
+    ) -> AttemptOutcome:
         attempt = Attempt()
         exchange.upstream = state.id
         exchange.tried.add(state.id)
-        exchange.heard_at = exchange.attempt_started_at = trio.current_time()
+        exchange.last_received_at = exchange.attempt_started_at = trio.current_time()
         exchange.status = 0
         exchange.load = self.placement.load(state)
         exchange.tellers = len(self.placement.peers.tellers())
@@ -243,21 +245,21 @@
         A client may disconnect as soon as it has the whole response.
         """
         if exchange.progress.finished:
-            exchange.progress.after(AttemptEnd.COMPLETE)
-            self._record_outcome(exchange, state, attempt, AttemptEnd.COMPLETE)
+            exchange.progress.next_step(AttemptOutcome.COMPLETE)
+            self._record_outcome(exchange, state, attempt, AttemptOutcome.COMPLETE)
         elif attempt.state is not AttemptState.QUEUED:
             exchange.progress.runs += 1
             if attempt.state is AttemptState.SENT:
-                self._record_abandoned_run(exchange, state, silent=False)
+                self._record_abandoned_attempt(exchange, state, stalled=False)
                 self.end_watch.left(exchange.request.fingerprint, state)
             self._record_stall(exchange, state)
 
     async def _attempt_with_stall_detection(
         self, exchange: Exchange, state: UpstreamState, attempt: Attempt
-    ) -> AttemptEnd:
-        outcome = AttemptEnd.LOST
-        exchange.silent = exchange.disconnected = False
-        with self.silence.watching(exchange, state):
+    ) -> AttemptOutcome:
+        outcome = AttemptOutcome.LOST
+        exchange.stalled = exchange.disconnected = False
+        with self.stall_detector.watching(exchange, state):
             try:
                 async with self.caller.exchange(
                     state.upstream,
@@ -267,49 +269,52 @@
                     resume_after=exchange.progress.last_event,
                 ) as response:
                     outcome = await self._forward_response(exchange, state, response)
-            except UpstreamBrokeError as error:
+            except UpstreamCallError as error:
                 exchange.reason = str(error)
                 exchange.disconnected = error.disconnected
                 outcome = _failed_outcome(attempt, exchange)
                 if attempt.state is AttemptState.QUEUED and not isinstance(
-                    error, NothingListensError
+                    error, UpstreamNotListeningError
                 ):
                     exchange.allow_retry(state.id)
-        if exchange.silent and not exchange.progress.finished:
+        if exchange.stalled and not exchange.progress.finished:
             exchange.reason = "the upstream fell silent"
             outcome = _failed_outcome(attempt, exchange)
             if attempt.state is AttemptState.SENT:
-                self._record_abandoned_run(exchange, state, silent=True)
+                self._record_abandoned_attempt(exchange, state, stalled=True)
         return outcome
 
-    def _record_abandoned_run(
-        self, exchange: Exchange, state: UpstreamState, *, silent: bool
+    def _record_abandoned_attempt(
+        self, exchange: Exchange, state: UpstreamState, *, stalled: bool
     ) -> None:
         """Records a run that the upstream may still be working on."""
-        self.silent_runs.left(
-            state, RunKind.ONLINE, heard_at=exchange.heard_at, silent=silent
+        self.abandoned_attempts.record(
+            state,
+            AttemptKind.ONLINE,
+            last_received_at=exchange.last_received_at,
+            stalled=stalled,
         )
 
     async def _forward_response(
-        self, exchange: Exchange, state: UpstreamState, response: UpstreamAnswer
-    ) -> AttemptEnd:
+        self, exchange: Exchange, state: UpstreamState, response: UpstreamResponse
+    ) -> AttemptOutcome:
         """Forwards a response and returns the outcome of the attempt."""
         exchange.status = response.status
-        if response.other_instance:
+        if response.wrong_upstream:
             state.gone = True
             exchange.reason = "another upstream has the address"
-            return AttemptEnd.NOT_RUN
+            return AttemptOutcome.NOT_RUN
         if response.refused:
             exchange.reason = f"the upstream refused with {response.status}"
             state.full_until = trio.current_time() + FULL_S
             exchange.allow_retry(state.id)
-            return AttemptEnd.NOT_RUN
+            return AttemptOutcome.NOT_RUN
         mode = forwarding_mode(
             response,
             method=exchange.request.method,
             route=exchange.route,
             sent_head=exchange.sent_head,
-            may_move=exchange.progress.may_move,
+            may_fail_over=exchange.progress.may_fail_over,
         )
         if isinstance(mode, UnusableResponse):
             exchange.reason = mode.reason
@@ -317,7 +322,7 @@
         outcome = await FORWARD_RESPONSE[mode](exchange, response)
         # Without a length, a crash of the upstream looks like the end of the body.
         exchange.disconnected = (
-            outcome is not AttemptEnd.COMPLETE and not response.framed
+            outcome is not AttemptOutcome.COMPLETE and not response.self_delimited
         )
         return outcome
 
@@ -326,38 +331,40 @@
         exchange: Exchange,
         state: UpstreamState,
         attempt: Attempt,
-        outcome: AttemptEnd,
+        outcome: AttemptOutcome,
     ) -> None:
         """Updates health and crash detection of the upstream."""
         now = trio.current_time()
-        if outcome is AttemptEnd.COMPLETE:
+        if outcome is AttemptOutcome.COMPLETE:
             self.end_watch.note_answer(exchange.request)
         elif attempt.state is not AttemptState.QUEUED and (
-            exchange.silent or exchange.disconnected
+            exchange.stalled or exchange.disconnected
         ):
             fingerprint = exchange.request.fingerprint
             self.end_watch.broke_off(
                 fingerprint,
                 state,
                 began=exchange.attempt_started_at,
-                silent=exchange.silent,
-                moved_on_s=exchange.heard_at - exchange.attempt_started_at,
+                silent=exchange.stalled,
+                moved_on_s=exchange.last_received_at - exchange.attempt_started_at,
             )
-        if outcome is AttemptEnd.NOT_RUN:
+        if outcome is AttemptOutcome.NOT_RUN:
             self.end_watch.not_run(exchange.request)
         if attempt.state is AttemptState.QUEUED:
             state.failed(now, reached=False)
             self.end_watch.unreachable(state)
-        elif outcome in (AttemptEnd.LOST, AttemptEnd.CUT):
-            if not exchange.silent or self.silent_runs.blames(state, exchange.heard_at):
+        elif outcome in (AttemptOutcome.LOST, AttemptOutcome.CUT):
+            if not exchange.stalled or self.abandoned_attempts.counts_against(
+                state, exchange.last_received_at
+            ):
                 state.failed(now)
         elif (
-            outcome is AttemptEnd.COMPLETE
+            outcome is AttemptOutcome.COMPLETE
             and exchange.status < _FIRST_SERVER_ERROR_STATUS
         ):
             state.succeeded(now)
             self._record_latency(exchange, state, now)
-        elif outcome is AttemptEnd.COMPLETE and exchange.status != _GATEWAY_TIMEOUT:
+        elif outcome is AttemptOutcome.COMPLETE and exchange.status != _GATEWAY_TIMEOUT:
             state.failed(now)
 
     def _record_stall(self, exchange: Exchange, state: UpstreamState) -> None:
@@ -368,11 +375,11 @@
         now = trio.current_time()
         is_first = not exchange.progress.started
         stall_s = first_event_stall_s if is_first else event_gap_stall_s
-        silent_s = now - exchange.heard_at
+        silent_s = now - exchange.last_received_at
         streams = exchange.route.kind is RouteKind.STREAM
         if not streams or silent_s <= stall_s(exchange.route):
             return
-        if self.silent_runs.blames(state, exchange.heard_at):
+        if self.abandoned_attempts.counts_against(state, exchange.last_received_at):
             state.failed(now)
 
     def _record_latency(
@@ -398,7 +405,7 @@
             step = NextStep.DONE
         first_s = exchange.first_byte_at - exchange.arrived_at
         self.on_end(
-            RequestEnd(
+            RequestSummary(
                 route=exchange.route.name,
                 outcome=step.value,
                 tries=exchange.progress.tries + 1,
@@ -443,10 +450,10 @@
     return max(0, round(seconds * 1000))
 
 
-def _failed_outcome(attempt: Attempt, exchange: Exchange) -> AttemptEnd:
+def _failed_outcome(attempt: Attempt, exchange: Exchange) -> AttemptOutcome:
     """Returns the outcome of an attempt that failed."""
     if attempt.state is AttemptState.QUEUED:
-        return AttemptEnd.NOT_RUN
+        return AttemptOutcome.NOT_RUN
     return exchange.broken_outcome()
 
 
--- a/src/coppercleat/serving/_life_question.py
+++ b/src/coppercleat/serving/_life_question.py
@@ -7,9 +7,9 @@
 from coppercleat.observability import part_logger
 from coppercleat.quarantine import Finding
 from coppercleat.serving._upstream_call import (
-    NothingListensError,
-    UpstreamBrokeError,
     UpstreamCaller,
+    UpstreamCallError,
+    UpstreamNotListeningError,
 )
 from coppercleat.serving._upstream_state import UpstreamState
 
@@ -30,9 +30,9 @@
     async def ask(state: UpstreamState) -> Finding:
         try:
             report = await caller.report(state.upstream)
-        except NothingListensError:
+        except UpstreamNotListeningError:
             return Finding.NOTHING_LISTENS
-        except UpstreamBrokeError as error:
+        except UpstreamCallError as error:
             _log.debug("An upstream did not report.", reason=str(error))
             return Finding.NO_ANSWER
         _log.debug(
--- a/src/coppercleat/serving/_peers.py
+++ b/src/coppercleat/serving/_peers.py
@@ -42,9 +42,9 @@
 """How often a zone tells the others: its members mostly use its own upstreams."""
 
 _TELL_UNCHANGED_S = 1.0
-"""How often counts are told that have not changed; see ``HELD_S``."""
+"""How often counts are told that have not changed; see ``COUNTS_EXPIRY_S``."""
 
-HELD_S = 10.0
+COUNTS_EXPIRY_S = 10.0
 """Counts of a peer that lives stay for so long when they are not told anew: its work
 goes on, and others would take slots that it holds. A silent link is mended in a second;
 counts that stay for ever would keep slots from being used."""
@@ -80,7 +80,7 @@
     rates: dict[str, float] = {}
 
 
-class ZoneWork(msgspec.Struct, frozen=True, tag="zone", array_like=True):
+class ZoneWorkInFlight(msgspec.Struct, frozen=True, tag="zone", array_like=True):
     """All that the sender's availability zone has in flight; replaces what was told."""
 
     zone: ZoneId
@@ -94,13 +94,13 @@
     results: tuple[AttemptResults, ...]
 
 
-class KnowledgeWanted(msgspec.Struct, frozen=True, tag="ask", array_like=True):
+class RoutesRequest(msgspec.Struct, frozen=True, tag="ask", array_like=True):
     """Asks for routes newer than a version, and for the list of upstreams."""
 
     after: int
 
 
-class Knowledge(msgspec.Struct, frozen=True, tag="know", array_like=True):
+class RoutesSnapshot(msgspec.Struct, frozen=True, tag="know", array_like=True):
     """Routes and upstreams as the sender knows them.
 
     Attributes:
@@ -113,7 +113,7 @@
     upstreams_age_s: float
 
 
-class JobTaken(msgspec.Struct, frozen=True, tag="taken", array_like=True):
+class JobTakeover(msgspec.Struct, frozen=True, tag="taken", array_like=True):
     """The sender has taken a job over; whoever ran it before must stop."""
 
     job: JobId
@@ -136,7 +136,7 @@
 
 
 class JobHandover(msgspec.Struct, frozen=True, tag="handover", array_like=True):
-    """Answers ``JobTaken`` with what the sender had made of the job."""
+    """Answers ``JobTakeover`` with what the sender had made of the job."""
 
     job: JobId
     items: list[ItemEvents]
@@ -146,38 +146,40 @@
     Heartbeat
     | LinkCheck
     | WorkInFlight
-    | ZoneWork
+    | ZoneWorkInFlight
     | ResultsSeen
     | EndsSeen
-    | KnowledgeWanted
-    | Knowledge
-    | JobTaken
+    | RoutesRequest
+    | RoutesSnapshot
+    | JobTakeover
     | JobHandover
 )
 _handlers = HandlerRegistry()
 
 
-class Peers:
-    """This instance's end of all that gateway instances tell each other.
+class GatewayPeers:
+    """Exchanges messages with the other gateway instances.
 
     Attributes:
-      detector: Which instances are heard of.
-      messenger: Sends to them and receives.
-      dropped: Messages that could not be taken.
-      silenced: Times that a peer's work in flight was dropped.
-      on_peer_dropped: Told at which upstreams a peer or a zone had work when what it
-        had told was dropped: the work may go on.
-      knowledge: Returns what this instance would tell an asker.
-      on_knowledge: Told what a peer knows.
-      waits: Returns whether anything waits for a slot at this instance.
-      waiting: Returns what waits.
-      on_counts: Told when a peer's work in flight has changed.
-      on_taken: Told of a job that a peer has taken over; returns what this instance
-        had made of it.
-      on_handover: Told what a peer had made of a job.
-      ends: Returns the ends under requests that are known here.
-      on_ends: Told the ends that a peer has found or heard of, and what was cleared;
-        returns whether any of it is news.
+      detector: Detects which instances are alive.
+      messenger: Sends and receives messages.
+      dropped: Counts of messages that were dropped.
+      expired_counts: How often the counts of a peer expired.
+      version: Returns the version of the routes of this instance.
+      needs_routes: Returns whether this instance has no fresh routes or upstreams.
+      routes_snapshot: Returns the snapshot for a peer with a version of the routes.
+      on_routes_snapshot: Called with a peer's snapshot.
+      on_counts_changed: Called when the counts of a peer or a zone have changed.
+      has_waiting: Returns whether work is queued at this instance.
+      waiting: Returns the queued work of this instance.
+      on_counts_expired: Called with the upstreams of expired counts, which may still
+        run the work.
+      on_job_takeover: Called with a job that a peer has taken over; returns this
+        instance's progress on it.
+      on_job_handover: Called with a peer's progress on a job that was taken over here.
+      crash_reports: Returns the crash reports known to this instance.
+      on_crash_update: Called with a peer's crash reports and cleared requests; returns
+        whether any of them is new.
     """
 
     def __init__(
@@ -202,22 +204,26 @@
             own, suspect_after_s=SUSPECT_AFTER_S, fanout=_FANOUT, rng=rng
         )
         self.version: Callable[[], int] = lambda: 0
-        self.starved: Callable[[], bool] = lambda: False
-        self.knowledge: Callable[[int], Knowledge | None] = lambda after: None
-        self.on_knowledge: Callable[[Knowledge], None] = lambda knowledge: None
-        self.on_counts: Callable[[], None] = lambda: None
-        self.waits: Callable[[], bool] = lambda: False
+        self.needs_routes: Callable[[], bool] = lambda: False
+        self.routes_snapshot: Callable[[int], RoutesSnapshot | None] = lambda after: (
+            None
+        )
+        self.on_routes_snapshot: Callable[[RoutesSnapshot], None] = (
+            lambda routes_snapshot: None
+        )
+        self.on_counts_changed: Callable[[], None] = lambda: None
+        self.has_waiting: Callable[[], bool] = lambda: False
         self.waiting: Callable[[], tuple[Waiting, ...]] = tuple
-        self.on_peer_dropped: Callable[[Collection[UpstreamId]], None] = (
+        self.on_counts_expired: Callable[[Collection[UpstreamId]], None] = (
             lambda upstreams: None
         )
-        self.on_taken: Callable[[JobId], list[ItemEvents]] = lambda job: []
-        self.on_handover: Callable[[JobId, list[ItemEvents]], None] = (
+        self.on_job_takeover: Callable[[JobId], list[ItemEvents]] = lambda job: []
+        self.on_job_handover: Callable[[JobId, list[ItemEvents]], None] = (
             lambda job, items: None
         )
-        self.ends: Callable[[], tuple[ToldEnd, ...]] = tuple
-        self.on_ends: Callable[[InstanceId, EndsSeen], bool] = lambda sender, seen: (
-            False
+        self.crash_reports: Callable[[], tuple[ToldEnd, ...]] = tuple
+        self.on_crash_update: Callable[[InstanceId, EndsSeen], bool] = (
+            lambda sender, seen: False
         )
         self.dropped = DroppedMessages()
         self.messenger = Messenger(
@@ -232,7 +238,7 @@
             on_garbage=self.dropped.note,
             on_reopened=self._on_reopened,
         )
-        self.silenced = 0
+        self.expired_counts = 0
         self._asked_at = float("-inf")
         self._told_at = float("-inf")
         self._to_teach: dict[InstanceId, int] = {}
@@ -262,34 +268,34 @@
             self._urgent.set()
 
     def _scarce(self) -> bool:
-        return bool(self.placement.order) or self.waits()
+        return bool(self.placement.order) or self.has_waiting()
 
     def _tells_all(self) -> bool:
         return len(self.placement.peers.tellers()) <= _TELL_ALL
 
-    def job_taken(self, job: JobId) -> None:
+    def announce_job_takeover(self, job: JobId) -> None:
         """Tells all others that this instance has taken a job over."""
-        for instance in self.others():
-            self.messenger.send(instance, JobTaken(job))
+        for instance in self.live_peers():
+            self.messenger.send(instance, JobTakeover(job))
 
-    def ends_found(
-        self, ends: tuple[ToldEnd, ...], cleared: tuple[Fingerprint, ...]
+    def announce_crashes(
+        self, crash_reports: tuple[ToldEnd, ...], cleared: tuple[Fingerprint, ...]
     ) -> None:
         """Tells others of upstreams that ended under requests.
 
         In a large fleet a few are told, who pass on what is news to them: as many links
         as members can't be kept, and what a link carries is lost when it is closed.
         """
-        self._spread_ends(EndsSeen(ends, cleared))
+        self._spread_ends(EndsSeen(crash_reports, cleared))
 
     def _spread_ends(self, seen: EndsSeen) -> None:
-        others = self.others()
-        if len(others) > _TELL_ALL:
-            others = self.detector.audience()
-        for instance in others:
+        live_peers = self.live_peers()
+        if len(live_peers) > _TELL_ALL:
+            live_peers = self.detector.audience()
+        for instance in live_peers:
             self.messenger.send(instance, seen)
 
-    def listed(self, members: list[tuple[InstanceId, str, ZoneId]]) -> None:
+    def observe_list(self, members: list[tuple[InstanceId, str, ZoneId]]) -> None:
         """Takes instances and their addresses as the platform keeps them.
 
         Those that are listed for the first time are greeted, so that both ends tell
@@ -302,7 +308,7 @@
         new = set(self.detector.members) - known
         self.messenger.greet(self._near(list(new)))
 
-    def others(self) -> list[InstanceId]:
+    def live_peers(self) -> list[InstanceId]:
         """Returns the other instances that are heard of."""
         return self.detector.alive(trio.current_time())[1:]
 
@@ -312,7 +318,7 @@
         while True:
             now = trio.current_time()
             self.messenger.beat(now, revision=Revision(self.version()))
-            self.forget_silent(now)
+            self.expire_stale_counts(now)
             self._ask_if_behind(now)
             self._tell_results()
             self._teach()
@@ -320,7 +326,7 @@
                 self.work_changed(urgent=False)
             await trio.sleep(HEARTBEAT_S)
 
-    def forget_silent(self, now: float) -> None:
+    def expire_stale_counts(self, now: float) -> None:
         """Gives up what was told by those that are dead or have told nothing since."""
         for gone in set(self._met) - set(self.detector.members):
             del self._met[gone]
@@ -334,7 +340,7 @@
         for zone in zones:
             self._drop_zone(zone)
         if changed or silent or zones:
-            self.on_counts()
+            self.on_counts_changed()
 
     def _is_silent(self, peer: InstanceId, now: float) -> bool:
         """Returns whether a peer has died or not told of its work for long.
@@ -343,7 +349,7 @@
         """
         told_s = now - self._counts_at.get(peer, float("-inf"))
         lives = self.detector.is_alive(peer, now) or told_s <= SUSPECT_AFTER_S
-        if lives and told_s <= HELD_S:
+        if lives and told_s <= COUNTS_EXPIRY_S:
             return False
         told_s = round(told_s, 1)
         _log.warning("A peer fell silent.", peer=peer, told_s=told_s, lives=lives)
@@ -352,8 +358,8 @@
     def _zone_is_silent(self, zone: ZoneId, now: float) -> bool:
         """Returns whether a zone has died or not told of its work for long."""
         told_s = now - self._zones_at.get(zone, float("-inf"))
-        lives = any(self.detector.zone_of(peer) == zone for peer in self.others())
-        if told_s <= (HELD_S if lives else ZONE_STALE_S):
+        lives = any(self.detector.zone_of(peer) == zone for peer in self.live_peers())
+        if told_s <= (COUNTS_EXPIRY_S if lives else ZONE_STALE_S):
             return False
         told_s = round(told_s, 1)
         _log.warning("A zone fell silent.", zone=zone, told_s=told_s, lives=lives)
@@ -374,13 +380,13 @@
         """Gives up what a peer has told, and has its upstreams asked instead."""
         upstreams = self.placement.peers.upstreams_of(peer)
         self._forget_peer(peer)
-        self.silenced += 1
-        self.on_peer_dropped(upstreams)
+        self.expired_counts += 1
+        self.on_counts_expired(upstreams)
 
     def _drop_zone(self, zone: ZoneId) -> None:
         upstreams = self.placement.zones.upstreams_of(zone)
         self._forget_zone(zone)
-        self.on_peer_dropped(upstreams)
+        self.on_counts_expired(upstreams)
 
     def _forget_peer(self, peer: InstanceId) -> None:
         self.placement.peers.forget(peer)
@@ -396,9 +402,9 @@
     def _on_reopened(self, silent: Silent) -> None:
         """Tells all to whom a link was silent; what waits there isn't known by now."""
         if silent.way is Way.EITHER and self.placement.order.forget(silent.peer):
-            self.on_counts()
+            self.on_counts_changed()
         self._tell_ends(silent.peer)
-        if silent.peer in self._near(self.others()):
+        if silent.peer in self._near(self.live_peers()):
             self._tell_work(silent.peer)
 
     def _tells_as_one(self, zone: ZoneId | None, now: float) -> bool:
@@ -410,20 +416,20 @@
     def _ask_if_behind(self, now: float) -> None:
         """Asks whoever has newer routes, or anybody while the store is away."""
         _, ahead = self.detector.highest_revision()
-        if ahead is None and self.starved():
-            others = self.others()
-            ahead = others[int(now * 10) % len(others)] if others else None
+        if ahead is None and self.needs_routes():
+            live_peers = self.live_peers()
+            ahead = live_peers[int(now * 10) % len(live_peers)] if live_peers else None
         if ahead is None or now - self._asked_at < _ASK_PAUSE_S:
             return
         self._asked_at = now
-        self.messenger.send(ahead, KnowledgeWanted(self.version()))
+        self.messenger.send(ahead, RoutesRequest(self.version()))
 
     def _tell_results(self) -> None:
         """Tells the own availability zone: from another an upstream may look well."""
         results = self.placement.untold_results()
         if not results:
             return
-        for instance in self.others():
+        for instance in self.live_peers():
             if self.detector.zone_of(instance) == self.settings.zone:
                 self.messenger.send(instance, ResultsSeen(tuple(results)))
 
@@ -435,7 +441,7 @@
             self._changed = trio.Event()
             self._urgent = trio.Event()
             self._told_at = trio.current_time()
-            self._tell_all(self._near(self.others()))
+            self._tell_all(self._near(self.live_peers()))
 
     def _tell_all(self, instances: Iterable[InstanceId]) -> None:
         """Tells of work in flight and waiting; it is routine if nothing has changed."""
@@ -447,9 +453,9 @@
 
     def _tell_ends(self, instance: InstanceId) -> None:
         """Tells one that was not heard of for a while what it may have missed."""
-        ends = self.ends()
-        if ends:
-            self.messenger.send(instance, EndsSeen(ends))
+        crash_reports = self.crash_reports()
+        if crash_reports:
+            self.messenger.send(instance, EndsSeen(crash_reports))
 
     def _teach(self) -> None:
         """Tells ends to those that were heard anew, and to one other by chance.
@@ -457,12 +463,12 @@
         Whatever was lost on the way reaches all in the end: with as many members as
         pick one, each is picked about once a beat.
         """
-        others = self.others()
-        chosen = self.placement.rng.choice(others) if others else None
-        ends = self.ends()
+        live_peers = self.live_peers()
+        chosen = self.placement.rng.choice(live_peers) if live_peers else None
+        crash_reports = self.crash_reports()
         for instance in {*self._to_teach, *([chosen] if chosen else [])}:
-            if ends:
-                self.messenger.send(instance, EndsSeen(ends))
+            if crash_reports:
+                self.messenger.send(instance, EndsSeen(crash_reports))
         self._to_teach = {
             instance: beats - 1
             for instance, beats in self._to_teach.items()
@@ -484,29 +490,29 @@
         """Tells other zones of this one's work, if that falls to this instance."""
         while True:
             await trio.sleep(_TELL_FAR_S)
-            others = self.others()
-            near = self._near(others)
-            if len(near) == len(others):
+            live_peers = self.live_peers()
+            near = self._near(live_peers)
+            if len(near) == len(live_peers):
                 continue
             if self.settings.instance != self._reporter(self.settings.zone):
                 continue
             rates = self.placement.demand.rates_of(near, now=trio.current_time())
-            zone_work = ZoneWork(
+            zone_work = ZoneWorkInFlight(
                 self.settings.zone, tuple(self.placement.of_own_zone()), rates
             )
-            for instance in set(others) - set(near):
+            for instance in set(live_peers) - set(near):
                 self.messenger.send(instance, zone_work, kind=Kind.ROUTINE)
 
-    def _near(self, others: list[InstanceId]) -> list[InstanceId]:
+    def _near(self, live_peers: list[InstanceId]) -> list[InstanceId]:
         """Returns those that this instance tells of its own work."""
-        if len(others) <= _TELL_ALL:
-            return others
+        if len(live_peers) <= _TELL_ALL:
+            return live_peers
         own = self.settings.zone
-        return [i for i in others if self.detector.zone_of(i) == own]
+        return [i for i in live_peers if self.detector.zone_of(i) == own]
 
     def _reporter(self, zone: ZoneId | None) -> InstanceId | None:
         """Returns who tells the others of a zone's work: the first that lives."""
-        living = [self.settings.instance, *self.others()]
+        living = [self.settings.instance, *self.live_peers()]
         of_zone = [i for i in living if self.detector.zone_of(i) == zone]
         return min(of_zone, default=None)
 
@@ -525,7 +531,7 @@
             # What was told before did not reach it.
             self._tell_ends(sender)
             self._to_teach[sender] = _TEACH_BEATS
-            if sender in self._near(self.others()):
+            if sender in self._near(self.live_peers()):
                 self._tell_work(sender)
 
     @_handlers.handles(WorkInFlight)
@@ -544,10 +550,10 @@
         self.placement.peers.observe(sender, work.counts)
         self.placement.order.observe(sender, work.waiting, now=now)
         self.placement.demand.observe(sender, work.rates)
-        self.on_counts()
+        self.on_counts_changed()
 
-    @_handlers.handles(ZoneWork)
-    def _on_zone_work(self, sender: InstanceId, work: ZoneWork) -> None:
+    @_handlers.handles(ZoneWorkInFlight)
+    def _on_zone_work(self, sender: InstanceId, work: ZoneWorkInFlight) -> None:
         if work.zone == self.settings.zone:
             return
         self._zones_at[work.zone] = trio.current_time()
@@ -556,7 +562,7 @@
         for peer in self.placement.peers.tellers():
             if self.detector.zone_of(peer) == work.zone:
                 self._forget_peer(peer)
-        self.on_counts()
+        self.on_counts_changed()
 
     @_handlers.handles(ResultsSeen)
     def _on_results(self, sender: InstanceId, seen: ResultsSeen) -> None:
@@ -564,26 +570,26 @@
 
     @_handlers.handles(EndsSeen)
     def _on_ends(self, sender: InstanceId, seen: EndsSeen) -> None:
-        news = self.on_ends(sender, seen)
-        if news and len(self.others()) > _TELL_ALL:
+        news = self.on_crash_update(sender, seen)
+        if news and len(self.live_peers()) > _TELL_ALL:
             self._spread_ends(seen)
 
-    @_handlers.handles(KnowledgeWanted)
-    def _on_wanted(self, sender: InstanceId, wanted: KnowledgeWanted) -> None:
-        knowledge = self.knowledge(wanted.after)
-        if knowledge is not None:
-            self.messenger.send(sender, knowledge)
+    @_handlers.handles(RoutesRequest)
+    def _on_wanted(self, sender: InstanceId, wanted: RoutesRequest) -> None:
+        routes_snapshot = self.routes_snapshot(wanted.after)
+        if routes_snapshot is not None:
+            self.messenger.send(sender, routes_snapshot)
 
-    @_handlers.handles(Knowledge)
-    def _on_known(self, sender: InstanceId, knowledge: Knowledge) -> None:
-        self.on_knowledge(knowledge)
+    @_handlers.handles(RoutesSnapshot)
+    def _on_known(self, sender: InstanceId, routes_snapshot: RoutesSnapshot) -> None:
+        self.on_routes_snapshot(routes_snapshot)
 
-    @_handlers.handles(JobTaken)
-    def _on_taken(self, sender: InstanceId, taken: JobTaken) -> None:
-        items = self.on_taken(taken.job)
+    @_handlers.handles(JobTakeover)
+    def _on_taken(self, sender: InstanceId, taken: JobTakeover) -> None:
+        items = self.on_job_takeover(taken.job)
         if items:
             self.messenger.send(sender, JobHandover(taken.job, items))
 
     @_handlers.handles(JobHandover)
     def _on_handover(self, sender: InstanceId, handover: JobHandover) -> None:
-        self.on_handover(handover.job, handover.items)
+        self.on_job_handover(handover.job, handover.items)
--- a/src/coppercleat/serving/_progress.py
+++ b/src/coppercleat/serving/_progress.py
@@ -11,7 +11,7 @@
 from coppercleat.serving._model import Route
 
 
-class AttemptEnd(enum.Enum):
+class AttemptOutcome(enum.Enum):
     """How an attempt at one upstream ended.
 
     NOT_RUN: the upstream did not begin to run the request. LOST: the attempt failed
@@ -36,7 +36,7 @@
     ABORT = "abort"
 
 
-class Passed(enum.Enum):
+class ForwardedPart(enum.Enum):
     """How much of the response has been forwarded to the client.
 
     EVENTS: complete events, after which another upstream can resume the stream.
@@ -64,24 +64,24 @@
       tries: Finished attempts.
       runs: Attempts in which the upstream may have run the request.
       last_event: Number of the last forwarded event; None if there is none.
-      passed: How much of the response has been forwarded.
+      forwarded: How much of the response has been forwarded.
     """
 
     route: Route
     tries: int = 0
     runs: int = 0
     last_event: int | None = None
-    passed: Passed = Passed.NOTHING
+    forwarded: ForwardedPart = ForwardedPart.NOTHING
 
     @property
     def started(self) -> bool:
         """Whether any part of a response has been forwarded."""
-        return self.passed is not Passed.NOTHING
+        return self.forwarded is not ForwardedPart.NOTHING
 
     @property
     def finished(self) -> bool:
         """Whether the whole response has been forwarded."""
-        return self.passed is Passed.ALL
+        return self.forwarded is ForwardedPart.ALL
 
     @property
     def may_have_run(self) -> bool:
@@ -89,9 +89,9 @@
         return self.runs > 0
 
     @property
-    def may_move(self) -> bool:
+    def may_fail_over(self) -> bool:
         """Whether the request may fail over if the current attempt fails."""
-        return _MAY_FAIL_OVER[self.passed](self.route) and self._attempts_left
+        return _MAY_FAIL_OVER[self.forwarded](self.route) and self._attempts_left
 
     @property
     def _attempts_left(self) -> bool:
@@ -102,15 +102,15 @@
         for event in events:
             if event.number is not None:
                 self.last_event = event.number
-                self.passed = Passed.EVENTS
+                self.forwarded = ForwardedPart.EVENTS
             elif event.data:
-                self.passed = Passed.UNRESUMABLE
+                self.forwarded = ForwardedPart.UNRESUMABLE
 
-    def after(self, outcome: AttemptEnd) -> NextStep:
+    def next_step(self, outcome: AttemptOutcome) -> NextStep:
         """Records the outcome of an attempt and returns the next step."""
         self.tries += 1
-        failover_allowed = self.may_move
-        if outcome is not AttemptEnd.NOT_RUN:
+        failover_allowed = self.may_fail_over
+        if outcome is not AttemptOutcome.NOT_RUN:
             self.runs += 1
         return _NEXT_STEP[outcome](self, failover_allowed)
 
@@ -123,11 +123,11 @@
         )
 
 
-_MAY_FAIL_OVER: dict[Passed, Callable[[Route], bool]] = {
-    Passed.NOTHING: lambda route: route.repeatable,
-    Passed.EVENTS: lambda route: route.resumes,
-    Passed.UNRESUMABLE: lambda route: False,
-    Passed.ALL: lambda route: False,
+_MAY_FAIL_OVER: dict[ForwardedPart, Callable[[Route], bool]] = {
+    ForwardedPart.NOTHING: lambda route: route.repeatable,
+    ForwardedPart.EVENTS: lambda route: route.resumes,
+    ForwardedPart.UNRESUMABLE: lambda route: False,
+    ForwardedPart.ALL: lambda route: False,
 }
 
 
@@ -144,8 +144,8 @@
 
 
 _NEXT_STEP = {
-    AttemptEnd.COMPLETE: lambda progress, failover_allowed: NextStep.DONE,
-    AttemptEnd.NOT_RUN: _after_not_run,
-    AttemptEnd.LOST: _after_lost,
-    AttemptEnd.CUT: _after_lost,
+    AttemptOutcome.COMPLETE: lambda progress, failover_allowed: NextStep.DONE,
+    AttemptOutcome.NOT_RUN: _after_not_run,
+    AttemptOutcome.LOST: _after_lost,
+    AttemptOutcome.CUT: _after_lost,
 }
--- a/src/coppercleat/serving/_sequence.py
+++ b/src/coppercleat/serving/_sequence.py
@@ -11,14 +11,14 @@
     Attributes:
       last: Number of the last event, initially of the run that is resumed; None if
         there is none.
-      numbered: Whether every event with data must have a number.
-      length: Events of this run with a number or data.
+      require_numbers: Whether every event with data must have a number.
+      event_count: Events of this run with a number or data.
     """
 
-    def __init__(self, last: int | None, *, numbered: bool = False) -> None:
+    def __init__(self, last: int | None, *, require_numbers: bool = False) -> None:
         self.last = last
-        self.numbered = numbered
-        self.length = 0
+        self.require_numbers = require_numbers
+        self.event_count = 0
 
     def take(self, events: list[StreamEvent]) -> tuple[list[StreamEvent], bool]:
         """Returns the leading events that are in order, and whether all of them are."""
@@ -30,11 +30,11 @@
     def _is_next(self, event: StreamEvent) -> bool:
         if event.number is None:
             # Before the first number of a resumed run, the client may have this data.
-            position_known = self.last is None or self.length > 0
-            self.length += bool(event.data)
-            return not event.data or (position_known and not self.numbered)
+            position_known = self.last is None or self.event_count > 0
+            self.event_count += bool(event.data)
+            return not event.data or (position_known and not self.require_numbers)
         if self.last is not None and event.number != self.last + 1:
             return False
         self.last = event.number
-        self.length += 1
+        self.event_count += 1
         return True
--- a/src/coppercleat/serving/_silence.py
+++ b/src/coppercleat/serving/_silence.py
@@ -41,7 +41,7 @@
     return max(EVENT_GAP_STALL_S, EVENT_GAP_STALL_TARGET_FACTOR * route.gap_target_s)
 
 
-async def looks_for_silence() -> AsyncIterator[float]:
+async def stall_check_times() -> AsyncIterator[float]:
     """Yields the time of each look, but of none that comes late.
 
     What came while this process stood still has not been read at a late look, and would
@@ -74,7 +74,7 @@
         """Has an attempt ended if the upstream is silent and another is not."""
         scope = trio.CancelScope()
         # Other answers may take as long as the route allows: silence proves nothing.
-        if exchange.route.kind is RouteKind.STREAM and exchange.progress.may_move:
+        if exchange.route.kind is RouteKind.STREAM and exchange.progress.may_fail_over:
             self._open_attempts[exchange] = (state, scope)
         try:
             with scope:
@@ -84,10 +84,10 @@
 
     async def run(self) -> None:
         """Ends attempts at silent upstreams, until cancelled."""
-        async for now in looks_for_silence():
+        async for now in stall_check_times():
             for exchange, (state, scope) in list(self._open_attempts.items()):
                 if self._has_stalled(exchange, state, now):
-                    exchange.silent = True
+                    exchange.stalled = True
                     scope.cancel()
 
     def _has_stalled(
@@ -100,9 +100,9 @@
         """
         if exchange.progress.finished:
             return False
-        has_received = exchange.heard_at > exchange.attempt_started_at
+        has_received = exchange.last_received_at > exchange.attempt_started_at
         stall_s = event_gap_stall_s if has_received else first_event_stall_s
-        if now < exchange.heard_at + stall_s(exchange.route):
+        if now < exchange.last_received_at + stall_s(exchange.route):
             return False
         if not state.health.may_try(now):
             return True
--- a/src/coppercleat/serving/_silent_moments.py
+++ b/src/coppercleat/serving/_silent_moments.py
@@ -17,7 +17,7 @@
 """Moments that are kept of an upstream; three of them in a row eject it."""
 
 
-class SilentMoments:
+class StallOnsets:
     """When silences of one upstream began; the clock is passed in."""
 
     def __init__(self) -> None:
--- a/src/coppercleat/serving/_silent_runs.py
+++ b/src/coppercleat/serving/_silent_runs.py
@@ -15,7 +15,7 @@
 _log = part_logger("silence")
 
 
-class RunKind(enum.Enum):
+class AttemptKind(enum.Enum):
     """What was run."""
 
     ONLINE = "online"
@@ -25,36 +25,41 @@
 class OnAbandoned(Protocol):
     """Told of a run that may still hold its slot."""
 
-    def __call__(self, state: UpstreamState, *, silent: bool) -> None: ...
+    def __call__(self, state: UpstreamState, *, stalled: bool) -> None: ...
 
 
-class SilentRuns:
+class AbandonedAttempts:
     """Tells the instance's other parts of such runs, and what they say of an upstream.
 
     Attributes:
-      on_left: Told of each.
+      on_abandoned: Told of each.
       on_count: Told the kind of each, and how it was left.
     """
 
     def __init__(self) -> None:
-        self.on_left: OnAbandoned = lambda state, *, silent: None
+        self.on_abandoned: OnAbandoned = lambda state, *, stalled: None
         self.on_count: Callable[[str, str], None] = lambda kind, ended: None
 
-    def left(
-        self, state: UpstreamState, kind: RunKind, *, heard_at: float, silent: bool
+    def record(
+        self,
+        state: UpstreamState,
+        kind: AttemptKind,
+        *,
+        last_received_at: float,
+        stalled: bool,
     ) -> None:
         """Notes a run that was left before its upstream had ended it.
 
         Args:
           state: The upstream.
           kind: What was run.
-          heard_at: When it began or its last event came, in trio's time.
-          silent: Whether it was given up since nothing came.
+          last_received_at: When it began or its last event came, in trio's time.
+          stalled: Whether it was given up since nothing came.
         """
-        silent_s = trio.current_time() - heard_at
-        if not silent and silent_s < UNHEARD_S:
+        silent_s = trio.current_time() - last_received_at
+        if not stalled and silent_s < UNHEARD_S:
             return
-        ended = "given_up" if silent else "left"
+        ended = "given_up" if stalled else "left"
         _log.info(
             "A run was left unheard.",
             upstream=state.id,
@@ -63,8 +68,8 @@
             silent_ms=round(silent_s * 1000),
         )
         self.on_count(kind.value, ended)
-        self.on_left(state, silent=silent)
+        self.on_abandoned(state, stalled=stalled)
 
-    def blames(self, state: UpstreamState, heard_at: float) -> bool:
+    def counts_against(self, state: UpstreamState, last_received_at: float) -> bool:
         """Returns whether a silence is held against its upstream, once a moment."""
-        return state.silences.is_new(heard_at)
+        return state.silences.is_new(last_received_at)
--- a/src/coppercleat/serving/_survey.py
+++ b/src/coppercleat/serving/_survey.py
@@ -19,8 +19,8 @@
 from coppercleat.serving._placement import Placement
 from coppercleat.serving._unknown_runs import HELD_S, believed_runs
 from coppercleat.serving._upstream_call import (
-    UpstreamBrokeError,
     UpstreamCaller,
+    UpstreamCallError,
     UpstreamReport,
 )
 from coppercleat.serving._upstream_state import UpstreamState
@@ -81,12 +81,12 @@
     believed_at: float = float("-inf")
 
 
-class Survey:
+class LoadProber:
     """Keeps the unknown runs at upstreams up to date while there may be some.
 
     Attributes:
       on_change: Told when the number of unknown runs at an upstream has changed.
-      asked: Reports asked for.
+      probe_count: Reports asked for.
     """
 
     def __init__(
@@ -95,7 +95,7 @@
         self.placement = placement
         self.caller = caller
         self.on_change: Callable[[], None] = lambda: None
-        self.asked = 0
+        self.probe_count = 0
         self._rng = rng
         self._asking: set[UpstreamId] = set()
         self._of: dict[UpstreamId, _Asked] = {}
@@ -121,24 +121,24 @@
                     await trio.sleep(self._rng.uniform(0, SPREAD_S))
                 self._doubt = trio.Event()
 
-    def doubt(self, upstreams: Collection[UpstreamId]) -> None:
+    def mark_uncertain(self, upstreams: Collection[UpstreamId]) -> None:
         """Notes that counts may not tell of these upstreams now."""
         until = trio.current_time() + DOUBT_S
         for upstream in upstreams:
             self._of.setdefault(upstream, _Asked()).doubted_until = until
         self._doubt.set()
 
-    def left_unheard(self, state: UpstreamState, *, silent: bool) -> None:
+    def record_abandoned_attempt(self, state: UpstreamState, *, stalled: bool) -> None:
         """Notes that a run was left, of which the upstream may not know.
 
         Args:
           state: The upstream.
-          silent: Whether the run was given up for its silence. If not, the upstream
+          stalled: Whether the run was given up for its silence. If not, the upstream
             may only have paused, and is asked first.
         """
         state.unheard += 1
-        self.doubt([state.id])
-        if silent:
+        self.mark_uncertain([state.id])
+        if stalled:
             state.unknown += 1
             self._of[state.id].believed_at = trio.current_time()
 
@@ -232,9 +232,9 @@
     async def _report(self, state: UpstreamState) -> UpstreamReport | None:
         """Returns an upstream's report, None if it gives none; ends the question."""
         try:
-            self.asked += 1
+            self.probe_count += 1
             return await self.caller.report(state.upstream)
-        except UpstreamBrokeError as error:
+        except UpstreamCallError as error:
             _log.debug("An upstream did not report.", reason=str(error))
             return None
         finally:
--- a/src/coppercleat/serving/_upstream_call.py
+++ b/src/coppercleat/serving/_upstream_call.py
@@ -1,4 +1,4 @@
-"""The port by which requests reach upstreams."""
+"""Interface for sending requests to upstreams."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from coppercleat.upstreams import Attempt
 
 
-class UpstreamBrokeError(Exception):
-    """The exchange ended before the answer was whole; the attempt tells more.
+class UpstreamCallError(Exception):
+    """A call ended without a complete, readable response.
 
     Attributes:
-      disconnected: Whether the connection broke, and not the answer was a wrong one.
+      disconnected: Whether the connection broke.
     """
 
     def __init__(self, reason: str, *, disconnected: bool = False) -> None:
@@ -25,32 +25,33 @@
         self.disconnected = disconnected
 
 
-class NothingListensError(UpstreamBrokeError):
-    """The host answers that no process listens at the upstream's address."""
+class UpstreamNotListeningError(UpstreamCallError):
+    """The host refused the connection: nothing listens at the upstream's address."""
 
 
 @attrs.define(kw_only=True)
-class UpstreamAnswer:
-    """The head of an upstream's answer, and its body as it comes.
+class UpstreamResponse:
+    """The head of an upstream's response, and its body as a stream.
 
     Attributes:
-      headers: Without those that concern one connection only.
-      refused: Whether the upstream says that it did not run the request.
-      other_instance: Whether another upstream than the one expected answered.
-      body: Parts of the body; raises ``UpstreamBrokeError`` where it is cut.
-      framed: Whether the body's end is told by a length or a last chunk, and not by
-        the end of the connection alone.
+      status: HTTP status.
+      headers: Header fields without the hop-by-hop ones.
+      refused: Whether the upstream declares that it did not run the request.
+      wrong_upstream: Whether the responder is another upstream than the one addressed.
+      body: Chunks of the body; raises ``UpstreamCallError`` if it is cut off.
+      self_delimited: Whether a length or a last chunk marks the end of the body, rather
+        than the end of the connection.
     """
 
     status: int
     headers: list[Header]
     refused: bool
-    other_instance: bool
+    wrong_upstream: bool
     body: AsyncIterator[bytes]
-    framed: bool = True
+    self_delimited: bool = True
 
     def header(self, name: bytes) -> bytes:
-        """Returns a header's value by its name in lower case, nothing without one."""
+        """Returns the value of a header by its lower-case name; empty if missing."""
         for found, value in self.headers:
             if found.lower() == name:
                 return value
@@ -58,11 +59,11 @@
 
 
 class UpstreamReport(msgspec.Struct, frozen=True, kw_only=True):
-    """What an upstream says of its load, as of a moment ago.
+    """An upstream's report of its load.
 
     Attributes:
-      running: Requests in its slots, whoever has sent them.
-      waiting: Requests in its own queue.
+      running: Requests in its slots, from any instance.
+      waiting: Requests in its queue.
       born_ms: See ``Upstream.born_ms``.
     """
 
@@ -72,7 +73,7 @@
 
 
 class UpstreamCaller(Protocol):
-    """Opens exchanges with upstreams."""
+    """Sends requests to upstreams."""
 
     def exchange(
         self,
@@ -82,28 +83,30 @@
         attempt: Attempt,
         allowed_s: float | None,
         resume_after: int | None,
-    ) -> contextlib.AbstractAsyncContextManager[UpstreamAnswer]:
-        """Sends a request and returns the head of the answer.
+    ) -> contextlib.AbstractAsyncContextManager[UpstreamResponse]:
+        """Sends a request and returns the head of the response.
 
-        Leaving the context closes the connection, which ends the run.
+        Leaving the context closes the connection, which cancels the attempt.
 
         Args:
-          upstream: Where to send it.
-          request: What to send.
-          attempt: Moved along, so that the caller knows what is proved.
-          allowed_s: Seconds the upstream may take; None for no limit.
-          resume_after: Number of the last event already had; None for none.
+          upstream: Upstream to send it to.
+          request: Request to send.
+          attempt: Updated as the call proceeds; shows whether the upstream may have run
+            the request.
+          allowed_s: Timeout in seconds; None for no limit.
+          resume_after: Number of the last event that has been received; None to start
+            from the beginning.
 
         Raises:
-          UpstreamBrokeError: No whole head of an answer to this request came.
+          UpstreamCallError: No complete response head arrived.
         """
         ...
 
     async def report(self, upstream: Upstream) -> UpstreamReport:
-        """Asks an upstream for its load.
+        """Requests an upstream's load.
 
         Raises:
-          NothingListensError: Its host refuses connections to it.
-          UpstreamBrokeError: It gave no answer that can be read.
+          UpstreamNotListeningError: The host refused the connection.
+          UpstreamCallError: No readable response arrived.
         """
         ...
--- a/src/coppercleat/serving/_upstream_state.py
+++ b/src/coppercleat/serving/_upstream_state.py
@@ -9,7 +9,7 @@
 from coppercleat.routing import Health
 from coppercleat.serving._model import Upstream
 from coppercleat.serving._results import RecentResults
-from coppercleat.serving._silent_moments import SilentMoments
+from coppercleat.serving._silent_moments import StallOnsets
 
 LONGEST_EJECTION_S = 2.0
 """Longest time without a trial of an upstream that failed. A trial costs one request
@@ -52,7 +52,7 @@
     upstream: Upstream
     health: Health = attrs.field(factory=lambda: Health(longest_s=LONGEST_EJECTION_S))
     results: RecentResults = attrs.field(factory=RecentResults)
-    silences: SilentMoments = attrs.field(factory=SilentMoments)
+    silences: StallOnsets = attrs.field(factory=StallOnsets)
     online: int = 0
     batch: int = 0
     gone: bool = False
--- a/src/coppercleat/serving/_watch.py
+++ b/src/coppercleat/serving/_watch.py
@@ -23,7 +23,7 @@
     routes_pause_s,
     upstreams_pause_s,
 )
-from coppercleat.serving._peers import Knowledge
+from coppercleat.serving._peers import RoutesSnapshot
 from coppercleat.serving._placement import Placement
 from coppercleat.storage import (
     ABSENT,
@@ -214,7 +214,7 @@
         """Whether other instances were alive when they were last looked for."""
         return any(not sight.row.leaving for sight in self._sights.values())
 
-    def starved(self) -> bool:
+    def needs_routes(self) -> bool:
         """Returns whether the store has not been read for a while."""
         now = trio.current_time()
         return now - min(self._upstreams_at, self._routes_read_at) > _STARVED_S
@@ -252,21 +252,21 @@
         names = [f"{i}/{s.row.boot}" for i, s in self._sights.items()]
         return [self.owner_name, *(n for n in names if self.owner_lives(n, since=now))]
 
-    def knowledge(self, after: int) -> Knowledge | None:
+    def routes_snapshot(self, after: int) -> RoutesSnapshot | None:
         """Returns what a peer that asks should be told."""
         if self.table is None:
             return None
         config = self.table.config if self.version > after else None
         age = trio.current_time() - self._upstreams_at
-        return Knowledge(config, self._upstreams, min(age, 1e9))
+        return RoutesSnapshot(config, self._upstreams, min(age, 1e9))
 
-    def take_knowledge(self, knowledge: Knowledge) -> None:
+    def adopt_routes_snapshot(self, routes_snapshot: RoutesSnapshot) -> None:
         """Takes what a peer knows, where it is newer."""
-        if knowledge.config is not None:
-            self._adopt(knowledge.config, source="a peer")
-        read_at = trio.current_time() - knowledge.upstreams_age_s
-        if knowledge.upstreams and read_at > self._upstreams_at + _STARVED_S:
-            self._use(list(knowledge.upstreams), after_outage=False)
+        if routes_snapshot.config is not None:
+            self._adopt(routes_snapshot.config, source="a peer")
+        read_at = trio.current_time() - routes_snapshot.upstreams_age_s
+        if routes_snapshot.upstreams and read_at > self._upstreams_at + _STARVED_S:
+            self._use(list(routes_snapshot.upstreams), after_outage=False)
             self._upstreams_at = read_at
 
     # What is polled.
--- a/tests/features/steps/answer_steps.py
+++ b/tests/features/steps/answer_steps.py
@@ -20,8 +20,8 @@
     RouteKind,
     Target,
     Upstream,
-    UpstreamAnswer,
-    UpstreamBrokeError,
+    UpstreamCallError,
+    UpstreamResponse,
 )
 from coppercleat.upstreams import AttemptState
 
@@ -59,12 +59,12 @@
         for word in rest:
             headers = HEADERS.get(word, headers)
             if word == "unframed":
-                options["framed"] = False
-        return UpstreamAnswer(
+                options["self_delimited"] = False
+        return UpstreamResponse(
             status=int(status),
             headers=headers,
             refused=False,
-            other_instance=False,
+            wrong_upstream=False,
             body=self.body(),
             **options,
         )
@@ -73,7 +73,7 @@
         for word in self.words[1:]:
             await trio.sleep(0.01)
             if word == "cut":
-                raise UpstreamBrokeError("the answer was cut")
+                raise UpstreamCallError("the answer was cut")
             if part := part_of(word):
                 yield part
 
@@ -203,7 +203,7 @@
     forwarder = Forwarder(admission, caller, on_end=lambda end: None)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(admission.run)
-        nursery.start_soon(forwarder.silence.run)
+        nursery.start_soon(forwarder.stall_detector.run)
         await forwarder.forward(request, route, client)
         nursery.cancel_scope.cancel()
 
--- a/tests/features/steps/foreign_entry_steps.py
+++ b/tests/features/steps/foreign_entry_steps.py
@@ -128,7 +128,7 @@
             rng=rng,
         )
         peers = make_peers("own", "a", 1, 2)
-        watch.on_members = peers.listed
+        watch.on_members = peers.observe_list
         good = b'{"boot": "b", "peers": "127.0.0.1:9", "zone": "a"}'
         values = {"first": good, "foreign": literal(text), "last": good}
         for name, value in values.items():
--- a/tests/features/steps/kept_item_steps.py
+++ b/tests/features/steps/kept_item_steps.py
@@ -10,7 +10,7 @@
 from coppercleat.ids import RequestId, UpstreamId
 from coppercleat.jobs import JobIndex
 from coppercleat.quarantine import End, ToldEnd
-from coppercleat.serving import OnlineRequest, UpstreamAnswer
+from coppercleat.serving import OnlineRequest, UpstreamResponse
 from coppercleat.upstreams import AttemptState
 from tests.harness import (
     HOST,
@@ -120,11 +120,11 @@
                 await trio.sleep(0.1)
                 yield f"id: {number}\ndata: w\n\n".encode()
 
-        yield UpstreamAnswer(
+        yield UpstreamResponse(
             status=200,
             headers=[(b"content-type", b"text/event-stream")],
             refused=False,
-            other_instance=False,
+            wrong_upstream=False,
             body=body(),
         )
 
--- a/tests/features/steps/kept_slots_steps.py
+++ b/tests/features/steps/kept_slots_steps.py
@@ -13,15 +13,15 @@
     AdmissionQueue,
     Forwarder,
     InFlight,
+    LoadProber,
     NextStep,
-    NothingListensError,
     OnlineRequest,
-    Survey,
-    UpstreamAnswer,
-    UpstreamBrokeError,
+    UpstreamCallError,
+    UpstreamNotListeningError,
     UpstreamReport,
+    UpstreamResponse,
     WorkInFlight,
-    ZoneWork,
+    ZoneWorkInFlight,
 )
 from coppercleat.upstreams import AttemptState
 from tests.harness import (
@@ -92,19 +92,19 @@
     async def report(self, upstream):
         self.reports -= 1
         if self.reports < 0:
-            raise UpstreamBrokeError("it does not report")
+            raise UpstreamCallError("it does not report")
         return UpstreamReport(running=8, waiting=0)
 
 
 @slots_course("8 runs left unheard at an upstream without reports", ITEM, ONLINE)
 async def left_unheard(until):
     placement = make_placement("x")
-    survey = Survey(placement, NoReports(), rng=random.Random(1))
+    load_prober = LoadProber(placement, NoReports(), rng=random.Random(1))
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(survey.run)
+        nursery.start_soon(load_prober.run)
         await trio.sleep(3)
         for _ in range(8):
-            survey.left_unheard(placement.states[X], silent=True)
+            load_prober.record_abandoned_attempt(placement.states[X], stalled=True)
         found = await until(placement)
         nursery.cancel_scope.cancel()
     return found
@@ -113,9 +113,9 @@
 @slots_course("a start and the last report of an upstream, of 8 runs", ITEM, ONLINE)
 async def report_at_start(until):
     placement = make_placement("x")
-    survey = Survey(placement, NoReports(1), rng=random.Random(1))
+    load_prober = LoadProber(placement, NoReports(1), rng=random.Random(1))
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(survey.run)
+        nursery.start_soon(load_prober.run)
         await trio.sleep(0.1)
         found = await until(placement)
         nursery.cancel_scope.cancel()
@@ -139,7 +139,7 @@
         counts = (InFlight(X, 8, 0),)
         self.work = WorkInFlight(counts)
         if teller == "zone":
-            self.work = ZoneWork(ZoneId("b"), counts)
+            self.work = ZoneWorkInFlight(ZoneId("b"), counts)
 
     def beat(self, name, zone, number):
         place = ZoneId(zone)
@@ -159,7 +159,7 @@
             passed_on = (self.beat("peer", self.zone, number),) if self.lives else ()
             heartbeat = Heartbeat(self.beat("other", "a", number), passed_on)
             await self.hears("other", heartbeat)
-            self.peers.forget_silent(trio.current_time())
+            self.peers.expire_stale_counts(trio.current_time())
 
 
 def told_course(evidence, *works, teller, lives):
@@ -191,16 +191,16 @@
     """The peer holds them for 5 s, and the last that it tells is that it does."""
     began = trio.current_time()
     told = Told(teller="peer", lives=True)
-    survey = Survey(make_placement("x"), NoReports(), rng=random.Random(1))
-    state = survey.placement.states[X]
+    load_prober = LoadProber(make_placement("x"), NoReports(), rng=random.Random(1))
+    state = load_prober.placement.states[X]
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(survey.run)
+        nursery.start_soon(load_prober.run)
         await trio.sleep(3)
         began = trio.current_time()
         for _ in range(8):
-            survey.left_unheard(state, silent=True)
-        while survey.placement.own():
-            told.work = WorkInFlight(tuple(survey.placement.own()))
+            load_prober.record_abandoned_attempt(state, stalled=True)
+        while load_prober.placement.own():
+            told.work = WorkInFlight(tuple(load_prober.placement.own()))
             await told.tell()
             await trio.sleep(0.1)
         nursery.start_soon(told.go_on)
@@ -229,19 +229,19 @@
             if self.breaks:
                 options["attempt"].move(AttemptState.SENT)
                 options["attempt"].move(AttemptState.LOST)
-                raise UpstreamBrokeError("cut", disconnected=True)
-            raise NothingListensError("refused")
+                raise UpstreamCallError("cut", disconnected=True)
+            raise UpstreamNotListeningError("refused")
         options["attempt"].move(AttemptState.SENT)
 
         async def body():
             yield b"id: 1\ndata: a\n\n"
 
-        yield UpstreamAnswer(
-            status=200, headers=[], refused=False, other_instance=False, body=body()
+        yield UpstreamResponse(
+            status=200, headers=[], refused=False, wrong_upstream=False, body=body()
         )
 
     async def report(self, upstream):
-        raise UpstreamBrokeError("it does not report")
+        raise UpstreamCallError("it does not report")
 
 
 class Reply:
@@ -286,7 +286,7 @@
     began, step = trio.current_time(), None
     async with trio.open_nursery() as nursery:
         nursery.start_soon(admission.run)
-        nursery.start_soon(forwarder.silence.run)
+        nursery.start_soon(forwarder.stall_detector.run)
         while step is not NextStep.DONE:
             reply = Reply()
             step = await forwarder.forward(proper_request(), route, reply)
--- a/tests/features/steps/link_steps.py
+++ b/tests/features/steps/link_steps.py
@@ -18,7 +18,7 @@
 )
 from coppercleat.observability import Metrics
 from coppercleat.routing import PeerArrivals
-from coppercleat.serving import InFlight, Rank, Waiting, WorkInFlight, ZoneWork
+from coppercleat.serving import InFlight, Rank, Waiting, WorkInFlight, ZoneWorkInFlight
 from tests.harness import (
     Relay,
     RelayedFleet,
@@ -48,7 +48,7 @@
                 await trio.sleep(later)
                 fleet.start_work(1)
                 context.known_after.append(await fleet.until_all_know(8))
-            context.dropped = sum(peers.silenced for peers in fleet.all)
+            context.dropped = sum(peers.expired_counts for peers in fleet.all)
             context.reopened = sum(p.messenger.links.reopened for p in fleet.all)
             nursery.cancel_scope.cancel()
 
@@ -83,7 +83,7 @@
     context.dropped_at = {}
     for peers in fleet.all:
         told = context.dropped_at.setdefault(peers.settings.instance, [])
-        peers.on_peer_dropped = told.append
+        peers.on_counts_expired = told.append
 
     async def run_first():
         with first:
@@ -109,10 +109,10 @@
         await watch_counts(context, fleet, seconds)
         fleet.hold(0, False)
         fleet.start_work(1)
-        dropped = sum(peers.silenced for peers in fleet.all)
+        dropped = sum(peers.expired_counts for peers in fleet.all)
         context.known_after = await fleet.until_all_know(8)
         await trio.sleep(1.0)
-        context.dropped_later = sum(p.silenced for p in fleet.all) - dropped
+        context.dropped_later = sum(p.expired_counts for p in fleet.all) - dropped
         reopened = [peers.messenger.links.reopened for peers in fleet.all]
         # The first has three such links, each of the others one.
         context.reopened = (sum(reopened) - before) / 6
@@ -165,7 +165,7 @@
     waiting = (Waiting(Rank.ONLINE, 100.0, "menus", 1),)
     work = WorkInFlight(counts, waiting)
     if teller == "zone":
-        work = ZoneWork(ZoneId("b"), counts)
+        work = ZoneWorkInFlight(ZoneId("b"), counts)
 
     async def run():
         one = make_peers("me", "a", free_port(), free_port())
@@ -189,7 +189,7 @@
                 await hears("peer", Heartbeat(line, ()))
             passed_on = (line,) if how == "through others" else ()
             await hears("other", Heartbeat(beat("other", "a", number), passed_on))
-            one.forget_silent(trio.current_time())
+            one.expire_stale_counts(trio.current_time())
             after_s = trio.current_time() - began
             if one.placement.load(state) == 3:
                 context.counted_s = {"me": after_s}
--- a/tests/features/steps/no_processor_time_steps.py
+++ b/tests/features/steps/no_processor_time_steps.py
@@ -19,15 +19,15 @@
     Admission,
     AdmissionQueue,
     Forwarder,
-    NothingListensError,
+    LoadProber,
     OnlineRequest,
     Placement,
     Route,
     RouteKind,
-    Survey,
     Target,
     Upstream,
-    UpstreamBrokeError,
+    UpstreamCallError,
+    UpstreamNotListeningError,
     UpstreamReport,
 )
 from coppercleat.upstreams import Attempt, UpstreamClient
@@ -108,7 +108,7 @@
     async def call(address, nursery):
         try:
             context.answers.append(await CALLS[does](address))
-        except (UpstreamBrokeError, UpstreamUnavailableError) as error:
+        except (UpstreamCallError, UpstreamUnavailableError) as error:
             context.answers.append(error)
         nursery.cancel_scope.cancel()
 
@@ -148,7 +148,7 @@
         context.error = None
         try:
             trio.run(CALLS[does], f"127.0.0.1:{address[1]}")
-        except (UpstreamBrokeError, UpstreamUnavailableError) as error:
+        except (UpstreamCallError, UpstreamUnavailableError) as error:
             context.error = error
         context.took_s = time.monotonic() - began
 
@@ -172,9 +172,9 @@
         self.tries += 1
         if words == "late":
             await trio.sleep(0.1)
-            raise UpstreamBrokeError("ConnectTimeout", disconnected=True)
+            raise UpstreamCallError("ConnectTimeout", disconnected=True)
         if words == "refused":
-            raise NothingListensError("ConnectError", disconnected=True)
+            raise UpstreamNotListeningError("ConnectError", disconnected=True)
         attempt.move(attempt.state.SENT)
         yield Script(words.split()).answer()
 
@@ -232,17 +232,17 @@
         async def report(self, upstream):
             await trio.sleep(0.01)
             if upstream.id == "x" and trio.current_time() < began + seconds:
-                raise UpstreamBrokeError("away")
+                raise UpstreamCallError("away")
             return UpstreamReport(running=0, waiting=0)
 
     context.chosen = []
-    survey = Survey(context.placement, Reports(), rng=random.Random(1))
+    load_prober = LoadProber(context.placement, Reports(), rng=random.Random(1))
 
     async def run():
         nonlocal began
         began = trio.current_time()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(survey.run)
+            nursery.start_soon(load_prober.run)
             while (after := trio.current_time() - began) < 3:
                 chosen = context.placement.choose_online(
                     "menus", tried=(), now=trio.current_time()
@@ -264,12 +264,12 @@
             return UpstreamReport(running=runs if upstream.id == "x" else 0, waiting=0)
 
     context.chosen = []
-    survey = Survey(context.placement, Reports(), rng=random.Random(1))
+    load_prober = LoadProber(context.placement, Reports(), rng=random.Random(1))
 
     async def run():
         began = trio.current_time()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(survey.run)
+            nursery.start_soon(load_prober.run)
             while (after := trio.current_time() - began) < 0.5:
                 chosen = context.placement.choose_online(
                     "menus", tried=(), now=trio.current_time()
--- a/tests/features/steps/quarantine_decision_steps.py
+++ b/tests/features/steps/quarantine_decision_steps.py
@@ -21,11 +21,11 @@
 )
 from coppercleat.serving import (
     InFlight,
-    NothingListensError,
     OnlineRequest,
     Placement,
     Upstream,
-    UpstreamBrokeError,
+    UpstreamCallError,
+    UpstreamNotListeningError,
     UpstreamReport,
     UpstreamState,
     Watch,
@@ -169,9 +169,9 @@
         if len(self.answers) > 1:
             self.answers.pop(0)
         if answer == "refused":
-            raise NothingListensError("no report")
+            raise UpstreamNotListeningError("no report")
         if answer == "-":
-            raise UpstreamBrokeError("no report")
+            raise UpstreamCallError("no report")
         born = {"same": BORN, "other": BORN + 5000, "unknown": 0}[answer]
         return UpstreamReport(running=0, waiting=0, born_ms=born)
 
--- a/tests/features/steps/serving_steps.py
+++ b/tests/features/steps/serving_steps.py
@@ -29,11 +29,11 @@
 from coppercleat.observability import LineBudget, LineOutput
 from coppercleat.platform import HttpReply
 from coppercleat.serving import (
-    AttemptEnd,
-    EventSplitter,
+    AttemptOutcome,
+    EventStreamParser,
+    ForwardedPart,
     InFlight,
     Nowhere,
-    Passed,
     Placement,
     RecentResults,
     RequestProgress,
@@ -72,14 +72,16 @@
 @then("its events are {events} and {rest} is left over")
 def split_events(context, events, rest):
     parts = context.scenario.name.partition("in parts ")[2].partition(" -- @")[0]
-    splitter = EventSplitter()
+    splitter = EventStreamParser()
     found = []
     for part in parts.split(" / "):
         for event in splitter.feed(unescape(part)):
             data = event.data.decode().replace("\n", "+")
             found.append(f"{str(event.number).lower()}:{data}")
     assert " ".join(found) == events, found
-    assert splitter.rest == (b"" if rest == "-" else unescape(rest)), splitter.rest
+    assert splitter.remainder == (b"" if rest == "-" else unescape(rest)), (
+        splitter.remainder
+    )
 
 
 @then("the last step is {step}")
@@ -88,8 +90,8 @@
     progress = RequestProgress(make_route(words[4]))
     for end in words[9:]:
         if end == "cut":
-            progress.passed = Passed.EVENTS
-        found = progress.after(AttemptEnd(end))
+            progress.forwarded = ForwardedPart.EVENTS
+        found = progress.next_step(AttemptOutcome(end))
     assert found.value == step, found
 
 
@@ -668,7 +670,7 @@
             for other in peers[1:]:
                 nursery.start_soon(other.run)
             with trio.move_on_after(10):
-                while any(len(p.others()) < count - 1 for p in peers):
+                while any(len(p.live_peers()) < count - 1 for p in peers):
                     await trio.sleep(0.05)
             state = peers[0].placement.states[UpstreamId("x")]
             for what, online in (("started", 3), ("ended", 0), ("again", 2)):
@@ -752,7 +754,7 @@
         for n, peers in enumerate(pair):
             other = InstanceId(f"i{1 - n}")
             address = f"127.0.0.1:{context.relays[1 - n].port}"
-            peers.listed([(other, address, ZoneId("a"))])
+            peers.observe_list([(other, address, ZoneId("a"))])
         states = [peers.placement.states[UpstreamId("x")] for peers in pair]
         async with trio.open_nursery() as nursery:
             for part in (*context.relays, *pair):
@@ -841,7 +843,7 @@
                 nursery.start_soon(one.run)
             began = trio.current_time()
             for one in peers:
-                one.listed(listed)
+                one.observe_list(listed)
             context.all_known = await until_load(peers, count)
             context.known_after = trio.current_time() - began
             nursery.cancel_scope.cancel()
--- a/tests/features/steps/silence_steps.py
+++ b/tests/features/steps/silence_steps.py
@@ -19,7 +19,7 @@
     RouteKind,
     Target,
     Upstream,
-    UpstreamAnswer,
+    UpstreamResponse,
 )
 from coppercleat.upstreams import AttemptState
 
@@ -54,8 +54,8 @@
         async def body():
             yield b"id: 1\ndata: a\n\n"
 
-        yield UpstreamAnswer(
-            status=200, headers=[], refused=False, other_instance=False, body=body()
+        yield UpstreamResponse(
+            status=200, headers=[], refused=False, wrong_upstream=False, body=body()
         )
 
 
@@ -114,7 +114,7 @@
         )
         async with trio.open_nursery() as nursery:
             nursery.start_soon(admission.run)
-            nursery.start_soon(forwarder.silence.run)
+            nursery.start_soon(forwarder.stall_detector.run)
             nursery.start_soon(free_later)
             context.step = await forwarder.forward(request, ROUTE, reply)
             nursery.cancel_scope.cancel()
--- a/tests/features/steps/steadiness_steps.py
+++ b/tests/features/steps/steadiness_steps.py
@@ -18,9 +18,9 @@
 )
 from coppercleat.serving import (
     AdmissionQueue,
-    NothingListensError,
     Placement,
     Upstream,
+    UpstreamNotListeningError,
     UpstreamState,
     Waiter,
     life_question,
@@ -127,7 +127,7 @@
     """An upstream at whose address nothing listens."""
 
     async def report(self, asked):
-        raise NothingListensError("no report")
+        raise UpstreamNotListeningError("no report")
 
 
 @when("a run that {run} meets the end of an upstream that {lived}")
--- a/tests/features/steps/suspended_steps.py
+++ b/tests/features/steps/suspended_steps.py
@@ -79,7 +79,7 @@
     suspend()
     if beats:
         peers.detector.tick(trio.current_time(), revision=Revision(0))
-    lives = peers.others() == [InstanceId("peer")]
+    lives = peers.live_peers() == [InstanceId("peer")]
     peers.messenger.links.close()
     return lives
 
@@ -94,7 +94,7 @@
 LOOKS = {
     "the lease holds": lambda s: watched(s, lambda watch: watch.holds_lease()),
     "the list of upstreams is fresh": lambda s: watched(
-        s, lambda watch: not watch.starved()
+        s, lambda watch: not watch.needs_routes()
     ),
     "a request with 2 s left goes on": request_goes_on,
     "a silence of 2 s is over": silence_passed,
--- a/tests/features/steps/unknown_runs_steps.py
+++ b/tests/features/steps/unknown_runs_steps.py
@@ -8,11 +8,11 @@
 
 from coppercleat.ids import UpstreamId, ZoneId
 from coppercleat.serving import (
+    LoadProber,
     Placement,
-    SilentMoments,
-    Survey,
+    StallOnsets,
     Upstream,
-    UpstreamBrokeError,
+    UpstreamCallError,
     UpstreamReport,
     believed_runs,
 )
@@ -58,7 +58,7 @@
         asked_at = trio.current_time()
         await trio.sleep(0.002)
         if self.away:
-            raise UpstreamBrokeError("away")
+            raise UpstreamCallError("away")
         then = [n for at, n in self._history if at <= asked_at - REPORT_LAG_S]
         # Nothing ran before the test's own beginning.
         return UpstreamReport(running=then[-1] if then else 0, waiting=0)
@@ -83,7 +83,7 @@
         )
         self.state = self.placement.states[X]
         self.upstream = LaggingUpstream(self.state)
-        self.survey = Survey(self.placement, self.upstream, rng=self.rng)
+        self.load_prober = LoadProber(self.placement, self.upstream, rng=self.rng)
         self.rate = rate
         self.off = []
 
@@ -111,12 +111,12 @@
         async def main():
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self.upstream.remember)
-                nursery.start_soon(self.survey.run)
+                nursery.start_soon(self.load_prober.run)
                 nursery.start_soon(self._requests, nursery)
                 nursery.start_soon(self._watch)
                 await trio.sleep(3)
                 self.began = trio.current_time()
-                self.asked_before = self.survey.asked
+                self.asked_before = self.load_prober.probe_count
                 act()
                 await trio.sleep(lasts)
                 nursery.cancel_scope.cancel()
@@ -153,10 +153,12 @@
             ends = [trio.current_time() + lasts] * count
             seen.upstream.uncounted += ends
             if how == "by a peer that was dropped":
-                seen.survey.doubt([X])
+                seen.load_prober.mark_uncertain([X])
                 return
             for _ in range(count):
-                seen.survey.left_unheard(seen.state, silent=how == "as silent")
+                seen.load_prober.record_abandoned_attempt(
+                    seen.state, stalled=how == "as silent"
+                )
 
         seen.run(act)
         context.seen.append(seen)
@@ -180,7 +182,7 @@
 
 @then("the upstream is asked {most:d} times at most")
 def asked_rarely(context, most):
-    asked = [seen.survey.asked - seen.asked_before for seen in context.seen]
+    asked = [seen.load_prober.probe_count - seen.asked_before for seen in context.seen]
     assert max(asked) <= most, asked
 
 
@@ -204,16 +206,16 @@
             asked.append(upstream.id)
             return UpstreamReport(running=1, waiting=0)
 
-    survey = Survey(placement, Counting(), rng=random.Random(1))
+    load_prober = LoadProber(placement, Counting(), rng=random.Random(1))
 
     async def main():
         with trio.move_on_after(4):
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(survey.run)
+                nursery.start_soon(load_prober.run)
                 await trio.sleep(2)
                 asked.clear()
                 for _ in range(20):
-                    survey.doubt(list(placement.states))
+                    load_prober.mark_uncertain(list(placement.states))
                     await trio.sleep(0.1)
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
@@ -227,7 +229,7 @@
     def act():
         seen.upstream.away = True
         seen.upstream.uncounted = [float("inf")]
-        seen.survey.left_unheard(seen.state, silent=True)
+        seen.load_prober.record_abandoned_attempt(seen.state, stalled=True)
 
     seen.run(act, lasts=held + 2)
     assert set(seen.at(0.05, held - 0.1)) == {0}
@@ -236,6 +238,6 @@
 
 @then("runs last heard of at {heard} s count against an upstream {times:d} times")
 def counted(context, heard, times):
-    moments = SilentMoments()
+    moments = StallOnsets()
     found = [moments.is_new(float(since)) for since in heard.split()]
     assert sum(found) == times, found
--- a/tests/harness/_ends_upstreams.py
+++ b/tests/harness/_ends_upstreams.py
@@ -11,12 +11,12 @@
 
 from coppercleat.ids import UpstreamId, ZoneId
 from coppercleat.serving import (
-    NothingListensError,
     OnlineRequest,
     Upstream,
-    UpstreamAnswer,
-    UpstreamBrokeError,
+    UpstreamCallError,
+    UpstreamNotListeningError,
     UpstreamReport,
+    UpstreamResponse,
 )
 from coppercleat.upstreams import AttemptState
 
@@ -160,7 +160,7 @@
         await trio.sleep(0.002)
         life = self.by_address[asked.address].reached()
         if life is None:
-            raise NothingListensError("no report: refused")
+            raise UpstreamNotListeningError("no report: refused")
         return UpstreamReport(
             running=life.running, waiting=0, born_ms=life.entry.born_ms
         )
@@ -168,20 +168,20 @@
     @contextlib.asynccontextmanager
     async def exchange(
         self, upstream: Upstream, request: OnlineRequest, **options: Any
-    ) -> AsyncIterator[UpstreamAnswer]:
+    ) -> AsyncIterator[UpstreamResponse]:
         """See ``UpstreamCaller.exchange``."""
         await trio.sleep(0.001)
         reached = self.by_address[upstream.address]
         life = reached.reached()
         if life is None:
-            raise NothingListensError("refused")
+            raise UpstreamNotListeningError("refused")
         other = life.entry.id != upstream.id
         full = life.running >= SLOTS
         attempt = options["attempt"]
         attempt.move(AttemptState.SENT)
         if other or full:
             attempt.move(AttemptState.REFUSED)
-            yield _answer(_nothing(), other_instance=other, refused=full)
+            yield _answer(_nothing(), wrong_upstream=other, refused=full)
             return
         item = request.request_id
         life.running += 1
@@ -209,7 +209,7 @@
     with trio.move_on_after(for_s):
         await cut.wait()
     if cut.is_set():
-        raise UpstreamBrokeError("the connection broke", disconnected=True)
+        raise UpstreamCallError("the connection broke", disconnected=True)
 
 
 async def _nothing() -> AsyncIterator[bytes]:
@@ -218,12 +218,12 @@
 
 
 def _answer(
-    body: AsyncIterator[bytes], *, other_instance: bool = False, refused: bool = False
-) -> UpstreamAnswer:
-    return UpstreamAnswer(
+    body: AsyncIterator[bytes], *, wrong_upstream: bool = False, refused: bool = False
+) -> UpstreamResponse:
+    return UpstreamResponse(
         status=200,
         headers=[(b"content-type", b"text/event-stream")],
         refused=refused,
-        other_instance=other_instance,
+        wrong_upstream=wrong_upstream,
         body=body,
     )
--- a/tests/harness/_job_play.py
+++ b/tests/harness/_job_play.py
@@ -24,7 +24,7 @@
     Route,
     RouteConfig,
     RouteTable,
-    UpstreamAnswer,
+    UpstreamResponse,
     Watch,
 )
 from coppercleat.storage import AnswerLostError, HistoryLostError, MemoryPlatform
@@ -164,11 +164,11 @@
                 await trio.sleep(0.1)
                 yield f"id: {number}\ndata: w\n\n".encode()
 
-        yield UpstreamAnswer(
+        yield UpstreamResponse(
             status=200,
             headers=[(b"content-type", b"text/event-stream")],
             refused=False,
-            other_instance=False,
+            wrong_upstream=False,
             body=body(),
         )
 
--- a/tests/harness/_jobs.py
+++ b/tests/harness/_jobs.py
@@ -23,7 +23,7 @@
     RouteKind,
     RouteTable,
     Target,
-    UpstreamAnswer,
+    UpstreamResponse,
 )
 from coppercleat.storage import MemoryPlatform
 from coppercleat.upstreams import AttemptState
@@ -86,8 +86,8 @@
                 await trio.sleep(0.02)
                 yield f"id: {number}\ndata: w\n\n".encode()
 
-        yield UpstreamAnswer(
-            status=200, headers=[], refused=False, other_instance=False, body=body()
+        yield UpstreamResponse(
+            status=200, headers=[], refused=False, wrong_upstream=False, body=body()
         )
 
 
--- a/tests/harness/_kept_jobs.py
+++ b/tests/harness/_kept_jobs.py
@@ -5,7 +5,7 @@
 import trio
 
 from coppercleat.gateway import JobAnswer
-from coppercleat.serving import UpstreamAnswer
+from coppercleat.serving import UpstreamResponse
 from coppercleat.storage import MemoryPlatform
 from coppercleat.upstreams import AttemptState
 from tests.harness._job_play import Instance, View
@@ -43,11 +43,11 @@
             attempt.move(AttemptState.REFUSED)
         elif status == 200:
             self.began.setdefault(request.request_id, []).append(trio.current_time())
-        yield UpstreamAnswer(
+        yield UpstreamResponse(
             status=status,
             headers=STREAM,
             refused=refused,
-            other_instance=False,
+            wrong_upstream=False,
             body=self.body(options["resume_after"] or 0),
         )
 
--- a/tests/harness/_links.py
+++ b/tests/harness/_links.py
@@ -8,7 +8,7 @@
 
 from coppercleat.ids import InstanceId, UpstreamId, ZoneId
 from coppercleat.membership import Kind, LinkWatch
-from coppercleat.serving import GatewaySettings, Peers, Placement, Upstream
+from coppercleat.serving import GatewayPeers, GatewaySettings, Placement, Upstream
 from tests.harness._processes import free_port
 
 
@@ -39,7 +39,7 @@
     rng = random.Random(name)
     placement = Placement(ZoneId(zone), rng=rng)
     placement.replace([roomy_upstream("x")])
-    return Peers(settings, placement, incarnation=1, rng=rng)
+    return GatewayPeers(settings, placement, incarnation=1, rng=rng)
 
 
 class Relay:
@@ -91,7 +91,7 @@
         self.all = [make_peers(f"i{n}", "a", port, 1) for n, port in enumerate(ports)]
         for (n, m), relay in self.relays.items():
             address = f"127.0.0.1:{relay.port}"
-            self.all[n].listed([(InstanceId(f"i{m}"), address, ZoneId("a"))])
+            self.all[n].observe_list([(InstanceId(f"i{m}"), address, ZoneId("a"))])
 
     def fall_silent(self, way):
         """Silences what is open: of some of the instances, one way or both."""
--- a/tests/harness/_word_play.py
+++ b/tests/harness/_word_play.py
@@ -3,8 +3,9 @@
 A course is drawn whole from its seed before it begins: when the upstream ends under an
 item, which instances stand still for how long, so that words lie unread there and what
 they tell leaves late, when the store is away, and who owns the item. Instances are the
-real watch and keeper of ends; words go the ways of ``Peers``: some are told, who pass
-on what is news to them, and each tells one by chance all that it knows, once a beat.
+real watch and keeper of ends; words go the ways of ``GatewayPeers``: some are told,
+who pass on what is news to them, and each tells one by chance all that it knows, once
+a beat.
 """
 
 from __future__ import annotations
--- a/tests/harness/_words.py
+++ b/tests/harness/_words.py
@@ -30,7 +30,7 @@
 
 
 class Words:
-    """Carries words the ways of ``Peers``.
+    """Carries words the ways of ``GatewayPeers``.
 
     Attributes:
       members: Returns the instances that are up.
