--- a/src/coppercleat/serving/_dropped_messages.py
+++ b/src/coppercleat/serving/_dropped_messages.py
@@ -1,4 +1,4 @@
-"""Counts peers' messages that are dropped, and warns of those of another fleet."""
+"""Counts dropped messages from peers, and warns of those from another fleet."""
 
 from __future__ import annotations
 
@@ -8,9 +8,8 @@
 
 from coppercleat.observability import part_logger
 
-WARN_PAUSE_S = 60.0
-"""Two fleets that meet exchange heartbeats several times a second; a warning a minute
-shows that it goes on and leaves room for other lines."""
+WARNING_INTERVAL_S = 60.0
+"""Limits the rate of warnings: another fleet may send several heartbeats a second."""
 
 _WRONG_KEY = "wrong_key"
 
@@ -18,22 +17,26 @@
 
 
 class DroppedMessages:
-    """What was dropped so far.
+    """Counts dropped messages.
 
     Attributes:
-      counts: Dropped messages by reason.
+      counts: Number of dropped messages by reason.
     """
 
     def __init__(self) -> None:
         self.counts: collections.Counter[str] = collections.Counter()
         self._warned_at = float("-inf")
 
-    def note(self, reason: str) -> None:
-        """Counts a message; see ``Garbage`` for reasons."""
+    def record(self, reason: str) -> None:
+        """Counts a dropped message.
+
+        Args:
+          reason: ``Garbage.reason`` of the message.
+        """
         self.counts[reason] += 1
-        _log.debug("A message was dropped.", reason=reason)
+        _log.debug("Message dropped.", reason=reason)
         now = trio.current_time()
-        if reason != _WRONG_KEY or now - self._warned_at < WARN_PAUSE_S:
+        if reason != _WRONG_KEY or now - self._warned_at < WARNING_INTERVAL_S:
             return
         self._warned_at = now
         dropped = self.counts[reason]
--- a/src/coppercleat/serving/_exchange.py
+++ b/src/coppercleat/serving/_exchange.py
@@ -30,7 +30,8 @@
       attempt_started_at: When the attempt began.
       status: HTTP status of the attempt's response; 0 before one arrives.
       sent_head: Head that has been sent to the client; None before that.
-      load: Estimated runs at the upstream when the attempt began, including this one.
+      load: Estimated load of the upstream when the attempt began, the attempt
+        included.
       tellers: Number of other instances whose counts were known when the attempt began.
       stalled: Whether the attempt was ended because the upstream stalled.
       disconnected: Whether the attempt failed because its connection broke.
@@ -71,8 +72,8 @@
     ) -> None:
         """Sends the head of the first response; later ones continue its body.
 
-        A resumable stream gets no content length, since the bytes of a resuming run may
-        differ and the client would then see a truncated body.
+        A resumable stream gets no content length, since the bytes of a resuming attempt
+        may differ and the client would then see a truncated body.
         """
         if self.sent_head is not None:
             return
@@ -91,5 +92,5 @@
         return AttemptOutcome.COMPLETE
 
     def broken_outcome(self) -> AttemptOutcome:
-        """Returns the outcome of a failed attempt that the upstream may have run."""
+        """Returns the outcome of a failed attempt that may have run."""
         return AttemptOutcome.CUT if self.progress.started else AttemptOutcome.LOST
--- a/src/coppercleat/serving/_forwarding.py
+++ b/src/coppercleat/serving/_forwarding.py
@@ -287,7 +287,7 @@
     def _record_abandoned_attempt(
         self, exchange: Exchange, state: UpstreamState, *, stalled: bool
     ) -> None:
-        """Records a run that the upstream may still be working on."""
+        """Records an attempt that the upstream may still run."""
         self.abandoned_attempts.record(
             state,
             AttemptKind.ONLINE,
--- a/src/coppercleat/serving/_peers.py
+++ b/src/coppercleat/serving/_peers.py
@@ -1,4 +1,4 @@
-"""What gateway instances tell each other: signs of life, work in flight, routes."""
+"""Messages between gateway instances: heartbeats, work in flight, routes, jobs."""
 
 from __future__ import annotations
 
@@ -29,50 +29,53 @@
 from coppercleat.serving._placement import AttemptResults, Placement
 from coppercleat.serving._work_counts import InFlight
 
-HEARTBEAT_S = 0.5
+HEARTBEAT_INTERVAL_S = 0.5
 SUSPECT_AFTER_S = 2.0
-"""Four heartbeats: one lost message or a busy moment is no death."""
+"""Four heartbeats, so that a lost message or a busy moment makes nobody suspect."""
 
 _FANOUT = 4
-_TELL_ALL = 24
-"""Up to this many members all tell all of work in flight. Beyond, members tell those of
-their own availability zone, and one of each zone tells the others of the whole zone."""
+_FULL_MESH_MAX_PEERS = 24
+"""Up to this many peers, every instance sends its counts to every other one. In a
+larger fleet it sends them within its availability zone, and one instance of each zone
+sends the sums of its zone to the other zones."""
 
-_TELL_FAR_S = 0.3
-"""How often a zone tells the others: its members mostly use its own upstreams."""
+_ZONE_REPORT_INTERVAL_S = 0.3
+"""Interval between the counts of a zone; other zones rarely use its upstreams."""
 
-_TELL_UNCHANGED_S = 1.0
-"""How often counts are told that have not changed; see ``COUNTS_EXPIRY_S``."""
+_COUNTS_REFRESH_S = 1.0
+"""Interval between unchanged counts; see ``COUNTS_EXPIRY_S``."""
 
 COUNTS_EXPIRY_S = 10.0
-"""Counts of a peer that lives stay for so long when they are not told anew: its work
-goes on, and others would take slots that it holds. A silent link is mended in a second;
-counts that stay for ever would keep slots from being used."""
+"""How long the counts of a live peer are kept without a refresh. Its work continues
+while a link to it is broken, and links are reopened within about a second."""
 
-WAITING_STALE_S = 1.5
-"""What waits elsewhere is told once a second; after this it has a slot or is late, and
-slots left to it would stay open."""
+QUEUED_WORK_EXPIRY_S = 1.5
+"""How long a peer's queued work is kept without a refresh, longer than the refresh
+interval. Slots reserved for work that is gone would stay unused."""
 
-ZONE_STALE_S = 2.5
-"""A zone is told of every 0.3 s; 2 s after its teller's death another one tells."""
+ZONE_COUNTS_EXPIRY_S = 2.5
+"""How long the counts of a zone without live peers are kept; if the zone's reporter
+crashes, another one takes over after ``SUSPECT_AFTER_S``."""
 
-_GATHER_S = 0.03
-"""Ends of requests are told together this often; starts at once."""
+_BATCHING_DELAY_S = 0.03
+"""Finished attempts are reported together after this delay, started ones at once."""
 
-_ASK_PAUSE_S = 0.3
+_ROUTES_REQUEST_INTERVAL_S = 0.3
 
-_TEACH_BEATS = 4
-"""With so many beats one that is heard anew is told the ends under requests: links to
-an instance that has just started are found silent, and what they carry is lost."""
+_CRASH_REPORT_REPEATS = 4
+"""Heartbeats with which crash reports are repeated to an instance that has just
+appeared: the first links to it may be broken, and lose messages."""
 
 _log = part_logger("peers")
 
 
 class WorkInFlight(msgspec.Struct, frozen=True, tag="work", array_like=True):
-    """All that the sender has in flight or waiting; replaces what it told before.
+    """All work that the sender has in flight or queued; replaces its previous message.
 
     Attributes:
-      rates: Online requests a second that arrive at the sender, by service.
+      counts: Attempts in flight, by upstream.
+      waiting: Queued work.
+      rates: Arrival rate of online requests at the sender, per second, by service.
     """
 
     counts: tuple[InFlight, ...]
@@ -81,31 +84,38 @@
 
 
 class ZoneWorkInFlight(msgspec.Struct, frozen=True, tag="zone", array_like=True):
-    """All that the sender's availability zone has in flight; replaces what was told."""
+    """All work in flight in an availability zone; replaces the previous message.
+
+    Attributes:
+      zone: The sender's availability zone.
+      counts: Attempts in flight in the whole zone, by upstream.
+      rates: Arrival rate of online requests in the zone, per second, by service.
+    """
 
     zone: ZoneId
     counts: tuple[InFlight, ...]
     rates: dict[str, float] = {}
 
 
-class ResultsSeen(msgspec.Struct, frozen=True, tag="results", array_like=True):
-    """How the sender's attempts at upstreams have ended since it last told."""
+class AttemptResultsReport(msgspec.Struct, frozen=True, tag="results", array_like=True):
+    """Results of the sender's attempts since its previous message."""
 
     results: tuple[AttemptResults, ...]
 
 
 class RoutesRequest(msgspec.Struct, frozen=True, tag="ask", array_like=True):
-    """Asks for routes newer than a version, and for the list of upstreams."""
+    """Requests routes newer than version ``after``, and the list of upstreams."""
 
     after: int
 
 
 class RoutesSnapshot(msgspec.Struct, frozen=True, tag="know", array_like=True):
-    """Routes and upstreams as the sender knows them.
+    """The sender's routes and upstreams.
 
     Attributes:
-      config: None if the asker's is as new.
-      upstreams_age_s: Seconds since the sender read the list from the platform.
+      config: Routes; None if the requester's version is as new.
+      upstreams: All upstreams of the list.
+      upstreams_age_s: Seconds since the sender read the list of upstreams.
     """
 
     config: RouteConfig | None
@@ -114,18 +124,20 @@
 
 
 class JobTakeover(msgspec.Struct, frozen=True, tag="taken", array_like=True):
-    """The sender has taken a job over; whoever ran it before must stop."""
+    """The sender has taken over a job; its previous owner must stop running it."""
 
     job: JobId
 
 
 class ItemEvents(msgspec.Struct, frozen=True, array_like=True):
-    """What an instance that must stop had made of an item.
+    """Progress of a previous owner on an item.
 
     Attributes:
+      index: Position of the item in its job.
       last_event: Number of the last event.
       events: Data of each event.
-      complete: Whether that is all of it.
+      failures: Failed attempts.
+      complete: Whether the item is finished.
     """
 
     index: int
@@ -136,7 +148,7 @@
 
 
 class JobHandover(msgspec.Struct, frozen=True, tag="handover", array_like=True):
-    """Answers ``JobTakeover`` with what the sender had made of the job."""
+    """Response to ``JobTakeover`` with the sender's progress on the job."""
 
     job: JobId
     items: list[ItemEvents]
@@ -147,7 +159,7 @@
     | LinkCheck
     | WorkInFlight
     | ZoneWorkInFlight
-    | ResultsSeen
+    | AttemptResultsReport
     | EndsSeen
     | RoutesRequest
     | RoutesSnapshot
@@ -230,22 +242,25 @@
             self.detector,
             listen=settings.peers,
             seeds=settings.seeds,
-            # Peers share no secret on this network; the name keeps fleets apart.
+            # No secret on this network; the name only separates fleets.
             keys=[settings.fleet_name],
             receiver=self,
             handlers=_handlers,
             messages=_Messages,
-            on_garbage=self.dropped.note,
-            on_reopened=self._on_reopened,
+            on_garbage=self.dropped.record,
+            on_reopened=self._on_link_reopened,
         )
         self.expired_counts = 0
-        self._asked_at = float("-inf")
-        self._told_at = float("-inf")
-        self._to_teach: dict[InstanceId, int] = {}
-        self._told_last: tuple[tuple[InFlight, ...], tuple[Waiting, ...]] = ((), ())
-        self._met: dict[InstanceId, int] = {}
-        self._counts_at: dict[InstanceId, float] = {}
-        self._zones_at: dict[ZoneId, float] = {}
+        self._routes_requested_at = float("-inf")
+        self._counts_sent_at = float("-inf")
+        self._crash_report_repeats: dict[InstanceId, int] = {}
+        self._last_sent_counts: tuple[tuple[InFlight, ...], tuple[Waiting, ...]] = (
+            (),
+            (),
+        )
+        self._incarnations: dict[InstanceId, int] = {}
+        self._peer_counts_at: dict[InstanceId, float] = {}
+        self._zone_counts_at: dict[ZoneId, float] = {}
         self._changed = trio.Event()
         self._urgent = trio.Event()
 
@@ -253,267 +268,304 @@
         """Sends and receives until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.messenger.run)
-            nursery.start_soon(self._beat_forever)
-            nursery.start_soon(self._tell_forever)
-            nursery.start_soon(self._tell_far_forever)
+            nursery.start_soon(self._send_heartbeats)
+            nursery.start_soon(self._send_counts_on_change)
+            nursery.start_soon(self._send_zone_counts)
 
     def work_changed(self, *, urgent: bool) -> None:
-        """Notes that work in flight or waiting has changed.
+        """Schedules a message about changed work in flight or queued.
+
+        In a small fleet every change is urgent while work is queued anywhere.
 
-        Starts are urgent: others would take the same slot. So are ends while something
-        waits for the slot, here or elsewhere, in a fleet that is small enough.
+        Args:
+          urgent: Whether to skip the batching delay. Started attempts are urgent, since
+            peers would otherwise take the same slot.
         """
         self._changed.set()
-        if urgent or (self._tells_all() and self._scarce()):
+        if urgent or (self._is_full_mesh() and self._slots_are_scarce()):
             self._urgent.set()
 
-    def _scarce(self) -> bool:
+    def _slots_are_scarce(self) -> bool:
         return bool(self.placement.order) or self.has_waiting()
 
-    def _tells_all(self) -> bool:
-        return len(self.placement.peers.tellers()) <= _TELL_ALL
+    def _is_full_mesh(self) -> bool:
+        return len(self.placement.peers.tellers()) <= _FULL_MESH_MAX_PEERS
 
     def announce_job_takeover(self, job: JobId) -> None:
-        """Tells all others that this instance has taken a job over."""
+        """Tells all live peers that this instance has taken over a job."""
         for instance in self.live_peers():
             self.messenger.send(instance, JobTakeover(job))
 
     def announce_crashes(
         self, crash_reports: tuple[ToldEnd, ...], cleared: tuple[Fingerprint, ...]
     ) -> None:
-        """Tells others of upstreams that ended under requests.
+        """Sends crash reports and cleared requests to the peers.
 
-        In a large fleet a few are told, who pass on what is news to them: as many links
-        as members can't be kept, and what a link carries is lost when it is closed.
+        In a large fleet they spread by gossip, since an instance cannot keep a link to
+        every other one.
         """
-        self._spread_ends(EndsSeen(crash_reports, cleared))
+        self._gossip_crashes(EndsSeen(crash_reports, cleared))
 
-    def _spread_ends(self, seen: EndsSeen) -> None:
-        live_peers = self.live_peers()
-        if len(live_peers) > _TELL_ALL:
-            live_peers = self.detector.audience()
-        for instance in live_peers:
+    def _gossip_crashes(self, seen: EndsSeen) -> None:
+        recipients = self.live_peers()
+        if len(recipients) > _FULL_MESH_MAX_PEERS:
+            recipients = self.detector.audience()
+        for instance in recipients:
             self.messenger.send(instance, seen)
 
     def observe_list(self, members: list[tuple[InstanceId, str, ZoneId]]) -> None:
-        """Takes instances and their addresses as the platform keeps them.
+        """Updates the known instances and their addresses from the platform's list.
 
-        Those that are listed for the first time are greeted, so that both ends tell
-        each other of their work at once: after all have started together, each would
-        else take the same free slots until a beat of each has reached each.
+        New instances are greeted, so that both sides exchange counts before their next
+        heartbeats. Otherwise instances that start together would take the same slots.
         """
         now = trio.current_time()
         known = set(self.detector.members)
         self.detector.observe_list(members, now)
         new = set(self.detector.members) - known
-        self.messenger.greet(self._near(list(new)))
+        self.messenger.greet(self._counts_recipients(list(new)))
 
     def live_peers(self) -> list[InstanceId]:
-        """Returns the other instances that are heard of."""
+        """Returns the other instances with recent heartbeats."""
         return self.detector.alive(trio.current_time())[1:]
 
     # Sending.
 
-    async def _beat_forever(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             now = trio.current_time()
             self.messenger.beat(now, revision=Revision(self.version()))
             self.expire_stale_counts(now)
-            self._ask_if_behind(now)
-            self._tell_results()
-            self._teach()
-            if now - self._told_at >= _TELL_UNCHANGED_S - HEARTBEAT_S / 2:
+            self._request_newer_routes(now)
+            self._send_results()
+            self._repeat_crash_reports()
+            if (
+                now - self._counts_sent_at
+                >= _COUNTS_REFRESH_S - HEARTBEAT_INTERVAL_S / 2
+            ):
                 self.work_changed(urgent=False)
-            await trio.sleep(HEARTBEAT_S)
+            await trio.sleep(HEARTBEAT_INTERVAL_S)
 
     def expire_stale_counts(self, now: float) -> None:
-        """Gives up what was told by those that are dead or have told nothing since."""
-        for gone in set(self._met) - set(self.detector.members):
-            del self._met[gone]
-        silent = [p for p in self.placement.peers.tellers() if self._is_silent(p, now)]
+        """Drops counts of dead peers and zones, and counts without a recent refresh."""
+        for removed in set(self._incarnations) - set(self.detector.members):
+            del self._incarnations[removed]
+        peers = [
+            p
+            for p in self.placement.peers.tellers()
+            if self._have_peer_counts_expired(p, now)
+        ]
         zones = [
-            z for z in self.placement.zones.tellers() if self._zone_is_silent(z, now)
+            z
+            for z in self.placement.zones.tellers()
+            if self._have_zone_counts_expired(z, now)
         ]
-        changed = self._forget_waiting(now)
-        for peer in silent:
-            self._drop_peer(peer)
+        changed = self._expire_queued_work(now)
+        for peer in peers:
+            self._expire_peer_counts(peer)
         for zone in zones:
-            self._drop_zone(zone)
-        if changed or silent or zones:
+            self._expire_zone_counts(zone)
+        if changed or peers or zones:
             self.on_counts_changed()
 
-    def _is_silent(self, peer: InstanceId, now: float) -> bool:
-        """Returns whether a peer has died or not told of its work for long.
+    def _have_peer_counts_expired(self, peer: InstanceId, now: float) -> bool:
+        """Returns whether a peer is dead or its counts are too old.
 
-        While it lives its work goes on, though it can't be heard here.
+        The counts of a live peer are kept for longer, since its work continues.
         """
-        told_s = now - self._counts_at.get(peer, float("-inf"))
-        lives = self.detector.is_alive(peer, now) or told_s <= SUSPECT_AFTER_S
-        if lives and told_s <= COUNTS_EXPIRY_S:
+        age_s = now - self._peer_counts_at.get(peer, float("-inf"))
+        is_alive = self.detector.is_alive(peer, now) or age_s <= SUSPECT_AFTER_S
+        if is_alive and age_s <= COUNTS_EXPIRY_S:
             return False
-        told_s = round(told_s, 1)
-        _log.warning("A peer fell silent.", peer=peer, told_s=told_s, lives=lives)
+        age_s = round(age_s, 1)
+        _log.warning(
+            "Counts of a peer expired.", peer=peer, told_s=age_s, lives=is_alive
+        )
         return True
 
-    def _zone_is_silent(self, zone: ZoneId, now: float) -> bool:
-        """Returns whether a zone has died or not told of its work for long."""
-        told_s = now - self._zones_at.get(zone, float("-inf"))
-        lives = any(self.detector.zone_of(peer) == zone for peer in self.live_peers())
-        if told_s <= (COUNTS_EXPIRY_S if lives else ZONE_STALE_S):
+    def _have_zone_counts_expired(self, zone: ZoneId, now: float) -> bool:
+        """Returns whether a zone is dead or its counts are too old."""
+        age_s = now - self._zone_counts_at.get(zone, float("-inf"))
+        is_alive = any(
+            self.detector.zone_of(peer) == zone for peer in self.live_peers()
+        )
+        if age_s <= (COUNTS_EXPIRY_S if is_alive else ZONE_COUNTS_EXPIRY_S):
             return False
-        told_s = round(told_s, 1)
-        _log.warning("A zone fell silent.", zone=zone, told_s=told_s, lives=lives)
+        age_s = round(age_s, 1)
+        _log.warning(
+            "Counts of a zone expired.", zone=zone, told_s=age_s, lives=is_alive
+        )
         return True
 
-    def _forget_waiting(self, now: float) -> bool:
-        """Drops what was told to wait too long ago; returns whether there was any."""
-        stale = [
+    def _expire_queued_work(self, now: float) -> bool:
+        """Drops peers' queued work that is too old; returns whether there was any."""
+        expired = [
             peer
             for peer in self.placement.order.tellers()
-            if now - self._counts_at.get(peer, float("-inf")) > WAITING_STALE_S
+            if now - self._peer_counts_at.get(peer, float("-inf"))
+            > QUEUED_WORK_EXPIRY_S
         ]
-        for peer in stale:
+        for peer in expired:
             self.placement.order.forget(peer)
-        return bool(stale)
+        return bool(expired)
 
-    def _drop_peer(self, peer: InstanceId) -> None:
-        """Gives up what a peer has told, and has its upstreams asked instead."""
+    def _expire_peer_counts(self, peer: InstanceId) -> None:
+        """Drops the counts of a peer and reports which upstreams they concerned."""
         upstreams = self.placement.peers.upstreams_of(peer)
-        self._forget_peer(peer)
+        self._forget_peer_counts(peer)
         self.expired_counts += 1
         self.on_counts_expired(upstreams)
 
-    def _drop_zone(self, zone: ZoneId) -> None:
+    def _expire_zone_counts(self, zone: ZoneId) -> None:
         upstreams = self.placement.zones.upstreams_of(zone)
-        self._forget_zone(zone)
+        self._forget_zone_counts(zone)
         self.on_counts_expired(upstreams)
 
-    def _forget_peer(self, peer: InstanceId) -> None:
+    def _forget_peer_counts(self, peer: InstanceId) -> None:
         self.placement.peers.forget(peer)
         self.placement.order.forget(peer)
         self.placement.demand.forget(peer)
-        self._counts_at.pop(peer, None)
+        self._peer_counts_at.pop(peer, None)
 
-    def _forget_zone(self, zone: ZoneId) -> None:
+    def _forget_zone_counts(self, zone: ZoneId) -> None:
         self.placement.zones.forget(zone)
         self.placement.demand.forget(zone)
-        self._zones_at.pop(zone, None)
+        self._zone_counts_at.pop(zone, None)
+
+    def _on_link_reopened(self, silent: Silent) -> None:
+        """Sends everything again to a peer whose link was broken.
 
-    def _on_reopened(self, silent: Silent) -> None:
-        """Tells all to whom a link was silent; what waits there isn't known by now."""
+        Its queued work is dropped if its messages may have been lost as well.
+        """
         if silent.way is Way.EITHER and self.placement.order.forget(silent.peer):
             self.on_counts_changed()
-        self._tell_ends(silent.peer)
-        if silent.peer in self._near(self.live_peers()):
-            self._tell_work(silent.peer)
+        self._send_crash_reports(silent.peer)
+        if silent.peer in self._counts_recipients(self.live_peers()):
+            self._send_counts_to(silent.peer)
 
-    def _tells_as_one(self, zone: ZoneId | None, now: float) -> bool:
-        """Returns whether a whole zone's work has been told of lately."""
+    def _has_zone_counts(self, zone: ZoneId | None, now: float) -> bool:
+        """Returns whether there are recent counts of a whole zone."""
         if zone is None:
             return False
-        return now - self._zones_at.get(zone, float("-inf")) <= ZONE_STALE_S
+        return (
+            now - self._zone_counts_at.get(zone, float("-inf")) <= ZONE_COUNTS_EXPIRY_S
+        )
 
-    def _ask_if_behind(self, now: float) -> None:
-        """Asks whoever has newer routes, or anybody while the store is away."""
-        _, ahead = self.detector.highest_revision()
-        if ahead is None and self.needs_routes():
+    def _request_newer_routes(self, now: float) -> None:
+        """Requests routes from a peer with a newer version, or from any if needed."""
+        _, newer_peer = self.detector.highest_revision()
+        if newer_peer is None and self.needs_routes():
             live_peers = self.live_peers()
-            ahead = live_peers[int(now * 10) % len(live_peers)] if live_peers else None
-        if ahead is None or now - self._asked_at < _ASK_PAUSE_S:
+            newer_peer = (
+                live_peers[int(now * 10) % len(live_peers)] if live_peers else None
+            )
+        if (
+            newer_peer is None
+            or now - self._routes_requested_at < _ROUTES_REQUEST_INTERVAL_S
+        ):
             return
-        self._asked_at = now
-        self.messenger.send(ahead, RoutesRequest(self.version()))
+        self._routes_requested_at = now
+        self.messenger.send(newer_peer, RoutesRequest(self.version()))
 
-    def _tell_results(self) -> None:
-        """Tells the own availability zone: from another an upstream may look well."""
+    def _send_results(self) -> None:
+        """Sends attempt results within the availability zone.
+
+        A network fault may concern an upstream's connections from one zone only.
+        """
         results = self.placement.untold_results()
         if not results:
             return
         for instance in self.live_peers():
             if self.detector.zone_of(instance) == self.settings.zone:
-                self.messenger.send(instance, ResultsSeen(tuple(results)))
+                self.messenger.send(instance, AttemptResultsReport(tuple(results)))
 
-    async def _tell_forever(self) -> None:
+    async def _send_counts_on_change(self) -> None:
         while True:
             await self._changed.wait()
-            with trio.move_on_after(_GATHER_S):
+            with trio.move_on_after(_BATCHING_DELAY_S):
                 await self._urgent.wait()
             self._changed = trio.Event()
             self._urgent = trio.Event()
-            self._told_at = trio.current_time()
-            self._tell_all(self._near(self.live_peers()))
-
-    def _tell_all(self, instances: Iterable[InstanceId]) -> None:
-        """Tells of work in flight and waiting; it is routine if nothing has changed."""
-        work = self._own_work()
-        told, self._told_last = self._told_last, (work.counts, work.waiting)
-        kind = Kind.ROUTINE if told == self._told_last else Kind.NEWS
+            self._counts_sent_at = trio.current_time()
+            self._send_counts(self._counts_recipients(self.live_peers()))
+
+    def _send_counts(self, instances: Iterable[InstanceId]) -> None:
+        """Sends this instance's work in flight, as routine if nothing has changed."""
+        work = self._own_work_in_flight()
+        previous, self._last_sent_counts = (
+            self._last_sent_counts,
+            (work.counts, work.waiting),
+        )
+        kind = Kind.ROUTINE if previous == self._last_sent_counts else Kind.NEWS
         for instance in instances:
             self.messenger.send(instance, work, kind=kind)
 
-    def _tell_ends(self, instance: InstanceId) -> None:
-        """Tells one that was not heard of for a while what it may have missed."""
+    def _send_crash_reports(self, instance: InstanceId) -> None:
+        """Sends all known crash reports to a peer that may have missed some."""
         crash_reports = self.crash_reports()
         if crash_reports:
             self.messenger.send(instance, EndsSeen(crash_reports))
 
-    def _teach(self) -> None:
-        """Tells ends to those that were heard anew, and to one other by chance.
+    def _repeat_crash_reports(self) -> None:
+        """Sends all crash reports to new peers and to a random one (anti-entropy).
 
-        Whatever was lost on the way reaches all in the end: with as many members as
-        pick one, each is picked about once a beat.
+        A lost report reaches every instance eventually, since each is chosen about once
+        per heartbeat interval.
         """
         live_peers = self.live_peers()
-        chosen = self.placement.rng.choice(live_peers) if live_peers else None
+        random_peer = self.placement.rng.choice(live_peers) if live_peers else None
         crash_reports = self.crash_reports()
-        for instance in {*self._to_teach, *([chosen] if chosen else [])}:
+        for instance in {
+            *self._crash_report_repeats,
+            *([random_peer] if random_peer else []),
+        }:
             if crash_reports:
                 self.messenger.send(instance, EndsSeen(crash_reports))
-        self._to_teach = {
-            instance: beats - 1
-            for instance, beats in self._to_teach.items()
-            if beats > 1
+        self._crash_report_repeats = {
+            instance: repeats - 1
+            for instance, repeats in self._crash_report_repeats.items()
+            if repeats > 1
         }
 
-    def _tell_work(self, instance: InstanceId) -> None:
-        """Tells one of work in flight and waiting that may know nothing of it."""
-        self.messenger.send(instance, self._own_work())
+    def _send_counts_to(self, instance: InstanceId) -> None:
+        """Sends this instance's work in flight to a peer that may not know it."""
+        self.messenger.send(instance, self._own_work_in_flight())
 
-    def _own_work(self) -> WorkInFlight:
+    def _own_work_in_flight(self) -> WorkInFlight:
         return WorkInFlight(
             tuple(self.placement.own()),
             self.waiting(),
             self.placement.demand.own_rates(now=trio.current_time()),
         )
 
-    async def _tell_far_forever(self) -> None:
-        """Tells other zones of this one's work, if that falls to this instance."""
+    async def _send_zone_counts(self) -> None:
+        """Sends this zone's work to the others while this instance is its reporter."""
         while True:
-            await trio.sleep(_TELL_FAR_S)
+            await trio.sleep(_ZONE_REPORT_INTERVAL_S)
             live_peers = self.live_peers()
-            near = self._near(live_peers)
-            if len(near) == len(live_peers):
+            recipients = self._counts_recipients(live_peers)
+            if len(recipients) == len(live_peers):
                 continue
-            if self.settings.instance != self._reporter(self.settings.zone):
+            if self.settings.instance != self._zone_reporter(self.settings.zone):
                 continue
-            rates = self.placement.demand.rates_of(near, now=trio.current_time())
+            rates = self.placement.demand.rates_of(recipients, now=trio.current_time())
             zone_work = ZoneWorkInFlight(
                 self.settings.zone, tuple(self.placement.of_own_zone()), rates
             )
-            for instance in set(live_peers) - set(near):
+            for instance in set(live_peers) - set(recipients):
                 self.messenger.send(instance, zone_work, kind=Kind.ROUTINE)
 
-    def _near(self, live_peers: list[InstanceId]) -> list[InstanceId]:
-        """Returns those that this instance tells of its own work."""
-        if len(live_peers) <= _TELL_ALL:
+    def _counts_recipients(self, live_peers: list[InstanceId]) -> list[InstanceId]:
+        """Returns the peers to which this instance sends its own counts."""
+        if len(live_peers) <= _FULL_MESH_MAX_PEERS:
             return live_peers
         own = self.settings.zone
         return [i for i in live_peers if self.detector.zone_of(i) == own]
 
-    def _reporter(self, zone: ZoneId | None) -> InstanceId | None:
-        """Returns who tells the others of a zone's work: the first that lives."""
-        living = [self.settings.instance, *self.live_peers()]
-        of_zone = [i for i in living if self.detector.zone_of(i) == zone]
+    def _zone_reporter(self, zone: ZoneId | None) -> InstanceId | None:
+        """Returns the instance that sends a zone's counts: the lowest live id."""
+        alive = [self.settings.instance, *self.live_peers()]
+        of_zone = [i for i in alive if self.detector.zone_of(i) == zone]
         return min(of_zone, default=None)
 
     # Receiving.
@@ -522,31 +574,31 @@
     def _on_heartbeat(self, sender: InstanceId, heartbeat: Heartbeat) -> None:
         now = trio.current_time()
         incarnation = heartbeat.own.incarnation
-        met = self.detector.is_alive(sender, now)
-        # Others may have told of it before; it has heard nothing from here yet.
-        met = met and self._met.get(sender) == incarnation
-        self._met[sender] = incarnation
+        is_known = self.detector.is_alive(sender, now)
+        # A peer that was known through others has received nothing from here yet.
+        is_known = is_known and self._incarnations.get(sender) == incarnation
+        self._incarnations[sender] = incarnation
         self.detector.observe(heartbeat, now)
-        if not met:
-            # What was told before did not reach it.
-            self._tell_ends(sender)
-            self._to_teach[sender] = _TEACH_BEATS
-            if sender in self._near(self.live_peers()):
-                self._tell_work(sender)
+        if not is_known:
+            # Earlier messages did not reach it.
+            self._send_crash_reports(sender)
+            self._crash_report_repeats[sender] = _CRASH_REPORT_REPEATS
+            if sender in self._counts_recipients(self.live_peers()):
+                self._send_counts_to(sender)
 
     @_handlers.handles(WorkInFlight)
-    def _on_work(self, sender: InstanceId, work: WorkInFlight) -> None:
+    def _on_work_in_flight(self, sender: InstanceId, work: WorkInFlight) -> None:
         now = trio.current_time()
         zone = self.detector.zone_of(sender)
-        if self._tells_as_one(zone, now):
-            # It takes the fleet to be small still; its zone's sums hold this already.
+        if self._has_zone_counts(zone, now):
+            # The sender has not noticed the fleet's growth; its zone's sums include it.
             return
-        if zone in self._zones_at:
-            self._forget_zone(zone)
+        if zone in self._zone_counts_at:
+            self._forget_zone_counts(zone)
         if self.detector.has_died(sender, now):
-            # Nothing was told to it while it was taken for dead.
-            self._tell_work(sender)
-        self._counts_at[sender] = now
+            # Nothing was sent to it while it was taken for dead.
+            self._send_counts_to(sender)
+        self._peer_counts_at[sender] = now
         self.placement.peers.observe(sender, work.counts)
         self.placement.order.observe(sender, work.waiting, now=now)
         self.placement.demand.observe(sender, work.rates)
@@ -556,40 +608,42 @@
     def _on_zone_work(self, sender: InstanceId, work: ZoneWorkInFlight) -> None:
         if work.zone == self.settings.zone:
             return
-        self._zones_at[work.zone] = trio.current_time()
+        self._zone_counts_at[work.zone] = trio.current_time()
         self.placement.zones.observe(work.zone, work.counts)
         self.placement.demand.observe(work.zone, work.rates)
         for peer in self.placement.peers.tellers():
             if self.detector.zone_of(peer) == work.zone:
-                self._forget_peer(peer)
+                self._forget_peer_counts(peer)
         self.on_counts_changed()
 
-    @_handlers.handles(ResultsSeen)
-    def _on_results(self, sender: InstanceId, seen: ResultsSeen) -> None:
+    @_handlers.handles(AttemptResultsReport)
+    def _on_results(self, sender: InstanceId, seen: AttemptResultsReport) -> None:
         self.placement.observe_results(seen.results, now=trio.current_time())
 
     @_handlers.handles(EndsSeen)
-    def _on_ends(self, sender: InstanceId, seen: EndsSeen) -> None:
-        news = self.on_crash_update(sender, seen)
-        if news and len(self.live_peers()) > _TELL_ALL:
-            self._spread_ends(seen)
+    def _on_crashes(self, sender: InstanceId, seen: EndsSeen) -> None:
+        is_new = self.on_crash_update(sender, seen)
+        if is_new and len(self.live_peers()) > _FULL_MESH_MAX_PEERS:
+            self._gossip_crashes(seen)
 
     @_handlers.handles(RoutesRequest)
-    def _on_wanted(self, sender: InstanceId, wanted: RoutesRequest) -> None:
-        routes_snapshot = self.routes_snapshot(wanted.after)
+    def _on_routes_request(self, sender: InstanceId, request: RoutesRequest) -> None:
+        routes_snapshot = self.routes_snapshot(request.after)
         if routes_snapshot is not None:
             self.messenger.send(sender, routes_snapshot)
 
     @_handlers.handles(RoutesSnapshot)
-    def _on_known(self, sender: InstanceId, routes_snapshot: RoutesSnapshot) -> None:
+    def _on_routes_snapshot(
+        self, sender: InstanceId, routes_snapshot: RoutesSnapshot
+    ) -> None:
         self.on_routes_snapshot(routes_snapshot)
 
     @_handlers.handles(JobTakeover)
-    def _on_taken(self, sender: InstanceId, taken: JobTakeover) -> None:
-        items = self.on_job_takeover(taken.job)
+    def _on_job_takeover(self, sender: InstanceId, takeover: JobTakeover) -> None:
+        items = self.on_job_takeover(takeover.job)
         if items:
-            self.messenger.send(sender, JobHandover(taken.job, items))
+            self.messenger.send(sender, JobHandover(takeover.job, items))
 
     @_handlers.handles(JobHandover)
-    def _on_handover(self, sender: InstanceId, handover: JobHandover) -> None:
+    def _on_job_handover(self, sender: InstanceId, handover: JobHandover) -> None:
         self.on_job_handover(handover.job, handover.items)
--- a/src/coppercleat/serving/_sequence.py
+++ b/src/coppercleat/serving/_sequence.py
@@ -1,4 +1,4 @@
-"""Checks that the events of a run are consecutive and continue an earlier run."""
+"""Checks that the events of an attempt are consecutive and continue an earlier one."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class EventSequence:
-    """The events of one run.
+    """The events of one attempt.
 
     Attributes:
-      last: Number of the last event, initially of the run that is resumed; None if
-        there is none.
+      last: Number of the last event, initially of the attempt that is resumed; None
+        if there is none.
       require_numbers: Whether every event with data must have a number.
-      event_count: Events of this run with a number or data.
+      event_count: Events of this attempt with a number or data.
     """
 
     def __init__(self, last: int | None, *, require_numbers: bool = False) -> None:
@@ -29,7 +29,7 @@
 
     def _is_next(self, event: StreamEvent) -> bool:
         if event.number is None:
-            # Before the first number of a resumed run, the client may have this data.
+            # A resumed stream may repeat data before its first number.
             position_known = self.last is None or self.event_count > 0
             self.event_count += bool(event.data)
             return not event.data or (position_known and not self.require_numbers)
--- a/src/coppercleat/serving/_silence.py
+++ b/src/coppercleat/serving/_silence.py
@@ -1,4 +1,4 @@
-"""Ends attempts at upstreams that have fallen silent, where another is better."""
+"""Ends stalled attempts that can fail over to another upstream."""
 
 from __future__ import annotations
 
@@ -14,38 +14,39 @@
 
 FIRST_EVENT_STALL_S = 0.8
 FIRST_EVENT_STALL_TARGET_FACTOR = 2.5
-"""Without a first event for this long, or so many times the route's target, a stream
-that may be resumed goes elsewhere. Well past the time to read the longest prompt
-beside a full batch (about 0.1 s)."""
+"""A resumable stream without a first event for this long, or for this many times the
+route's target if that is longer, has stalled. Far above the prefill time of the longest
+prompt beside a full batch (about 0.1 s)."""
 
 EVENT_GAP_STALL_S = 0.6
 EVENT_GAP_STALL_TARGET_FACTOR = 3.0
-"""The same between events, which come some 20 ms apart."""
+"""The same limits between events, which arrive some 20 ms apart."""
 
 CHECK_INTERVAL_S = 0.05
-"""Between looks for a slot elsewhere, for a request whose upstream is silent."""
+"""Interval between checks for stalled attempts."""
 
 LATE_CHECK_S = 3 * CHECK_INTERVAL_S
-"""A look that comes so late is left out, once: a busy process looks some ms late."""
+"""A check later than this means that the process was suspended; a busy process is only
+some milliseconds late."""
 
 
 def first_event_stall_s(route: Route) -> float:
-    """Returns for how long an upstream may be silent before the first event."""
+    """Returns the seconds without a first event after which a stream has stalled."""
     return max(
         FIRST_EVENT_STALL_S, FIRST_EVENT_STALL_TARGET_FACTOR * route.target_latency_s
     )
 
 
 def event_gap_stall_s(route: Route) -> float:
-    """Returns for how long an upstream may be silent between events."""
+    """Returns the seconds between events after which a stream has stalled."""
     return max(EVENT_GAP_STALL_S, EVENT_GAP_STALL_TARGET_FACTOR * route.gap_target_s)
 
 
 async def stall_check_times() -> AsyncIterator[float]:
-    """Yields the time of each look, but of none that comes late.
+    """Yields the time of each check for stalls; skips the first of several late ones.
 
-    What came while this process stood still has not been read at a late look, and would
-    be taken for silence.
+    After a suspension of the process, data may have arrived that has not been read yet.
+    Without this exception its sender would seem to have stalled.
     """
     checked_at, skipped = trio.current_time(), False
     while True:
@@ -59,10 +60,10 @@
 
 
 class StallDetector:
-    """Looks at all open attempts of an instance by turns.
+    """Checks the open attempts of an instance for stalls.
 
     Attributes:
-      placement: Knows whether a slot is open elsewhere.
+      placement: Used to find open slots at other upstreams.
     """
 
     def __init__(self, placement: Placement) -> None:
@@ -71,9 +72,9 @@
 
     @contextlib.contextmanager
     def watching(self, exchange: Exchange, state: UpstreamState) -> Iterator[None]:
-        """Has an attempt ended if the upstream is silent and another is not."""
+        """Ends the attempt in its body if it stalls and can fail over."""
         scope = trio.CancelScope()
-        # Other answers may take as long as the route allows: silence proves nothing.
+        # Other responses may take as long as the route allows.
         if exchange.route.kind is RouteKind.STREAM and exchange.progress.may_fail_over:
             self._open_attempts[exchange] = (state, scope)
         try:
@@ -83,7 +84,7 @@
             self._open_attempts.pop(exchange, None)
 
     async def run(self) -> None:
-        """Ends attempts at silent upstreams, until cancelled."""
+        """Ends stalled attempts until cancelled."""
         async for now in stall_check_times():
             for exchange, (state, scope) in list(self._open_attempts.items()):
                 if self._has_stalled(exchange, state, now):
@@ -93,10 +94,10 @@
     def _has_stalled(
         self, exchange: Exchange, state: UpstreamState, now: float
     ) -> bool:
-        """Returns whether an upstream is silent and the request better off elsewhere.
+        """Returns whether an attempt has stalled and should fail over.
 
-        An upstream is silent too while the request waits in its queue. Leaving it then
-        for no free slot would lose the place, and the request may have run.
+        An upstream also sends nothing while the request waits in its queue. A failover
+        without an open slot would lose that position, and use up an attempt.
         """
         if exchange.progress.finished:
             return False
--- a/src/coppercleat/serving/_silent_moments.py
+++ b/src/coppercleat/serving/_silent_moments.py
@@ -1,8 +1,7 @@
-"""Whether a silence tells of an upstream, or of the connections to it.
+"""Counts stalls of an upstream that began at the same time as one failure.
 
-Answers the load after open connections have gone silent while new ones work: each run
-on them ends by silence, at all upstreams, and none of these is ill. What begins at one
-moment is one sign of an upstream, however many runs there show it.
+A network fault can stall all open connections at once, to healthy upstreams as well.
+Counted one by one, the stalled attempts would eject these upstreams.
 """
 
 from __future__ import annotations
@@ -10,24 +9,24 @@
 import collections
 
 SAME_ONSET_S = 0.15
-"""Silences that began within this time began together: events come 20 ms apart, and a
-run that reads its prompt beside a full batch was last heard of up to 0.1 s before."""
+"""Stalls that began within this time count as one: events arrive 20 ms apart, and an
+attempt in prefill beside a full batch may have received nothing for up to 0.1 s."""
 
 _MAX_ONSETS = 8
-"""Moments that are kept of an upstream; three of them in a row eject it."""
+"""More than the three failures in a row that eject an upstream."""
 
 
 class StallOnsets:
-    """When silences of one upstream began; the clock is passed in."""
+    """When recent stalls of one upstream began; reads no clock."""
 
     def __init__(self) -> None:
         self._onsets: collections.deque[float] = collections.deque(maxlen=_MAX_ONSETS)
 
     def is_new(self, since: float) -> bool:
-        """Notes a silence; returns whether none that began with it was noted before.
+        """Records a stall and returns whether it is the first with its onset.
 
         Args:
-          since: When the upstream was last heard of.
+          since: When the upstream last sent something, in seconds.
         """
         if any(abs(since - onset) < SAME_ONSET_S for onset in self._onsets):
             return False
--- a/src/coppercleat/serving/_silent_runs.py
+++ b/src/coppercleat/serving/_silent_runs.py
@@ -1,4 +1,4 @@
-"""Runs of this instance that were left while their upstream was unheard."""
+"""Attempts that this instance abandoned and the upstream may still run."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 
 
 class AttemptKind(enum.Enum):
-    """What was run."""
+    """What was sent to the upstream."""
 
     ONLINE = "online"
     ITEM = "item"
 
 
 class OnAbandoned(Protocol):
-    """Told of a run that may still hold its slot."""
+    """Called for an attempt that may still hold its slot."""
 
     def __call__(self, state: UpstreamState, *, stalled: bool) -> None: ...
 
 
 class AbandonedAttempts:
-    """Tells the instance's other parts of such runs, and what they say of an upstream.
+    """Reports abandoned attempts, and decides which stalls count as failures.
 
     Attributes:
-      on_abandoned: Told of each.
-      on_count: Told the kind of each, and how it was left.
+      on_abandoned: Called for each abandoned attempt.
+      on_count: Called with the kind of each and how it ended, for metrics.
     """
 
     def __init__(self) -> None:
@@ -48,13 +48,17 @@
         last_received_at: float,
         stalled: bool,
     ) -> None:
-        """Notes a run that was left before its upstream had ended it.
+        """Records an attempt that was ended before its upstream had finished it.
+
+        An attempt that received something a moment ago is left out: its upstream sees
+        the closed connection and stops.
 
         Args:
           state: The upstream.
-          kind: What was run.
-          last_received_at: When it began or its last event came, in trio's time.
-          stalled: Whether it was given up since nothing came.
+          kind: What was sent.
+          last_received_at: When the attempt began or its last event arrived, in trio's
+            time.
+          stalled: Whether it was ended because it had stalled.
         """
         silent_s = trio.current_time() - last_received_at
         if not stalled and silent_s < UNHEARD_S:
@@ -71,5 +75,8 @@
         self.on_abandoned(state, stalled=stalled)
 
     def counts_against(self, state: UpstreamState, last_received_at: float) -> bool:
-        """Returns whether a silence is held against its upstream, once a moment."""
+        """Returns whether a stall counts as a failure of its upstream; records it.
+
+        Stalls of one upstream that began together count once.
+        """
         return state.silences.is_new(last_received_at)
--- a/src/coppercleat/serving/_survey.py
+++ b/src/coppercleat/serving/_survey.py
@@ -1,9 +1,8 @@
-"""Asks upstreams what they run, while counts of work in flight may not tell.
+"""Probes upstreams for their load while counts of work in flight may be incomplete.
 
-Answers the load after instances have lost their power, or connections have gone silent:
-an upstream goes on with runs whose caller is gone, for seconds, and the instances know
-nothing of them. What they send to slots that seem free waits behind those runs, online
-requests behind batch items.
+After a crash of an instance or a network fault, an upstream may run requests for
+seconds whose caller is gone. No instance counts these untracked requests, so that new
+ones would be sent to slots that seem free, and queue behind them.
 """
 
 from __future__ import annotations
@@ -25,68 +24,65 @@
 )
 from coppercleat.serving._upstream_state import UpstreamState
 
-AFTER_START_S = 1.5
-"""For so long after its start an instance asks every upstream: the first report may
-be older than the start, and requests of before may begin to run after it."""
+STARTUP_PROBING_S = 1.5
+"""How long an instance probes every upstream after its start. The first report may be
+older than the start, and requests sent before it may begin to run later."""
 
-LISTED_LOOK_S = 0.01
-"""Between looks for the first upstreams: they are listed some 20 ms after the start, or
-once the store is back."""
+LIST_CHECK_INTERVAL_S = 0.01
+"""Interval between checks for the first list of upstreams."""
 
-FIRST_AFTER_S = 0.2
-"""Others tell of their work in this time; what they have told is no unknown run. The
-first question does not wait for it: until the second, all that an upstream runs counts
-as unknown."""
+STARTUP_DELAY_S = 0.2
+"""Time in which peers send their counts after the start. The first probe does not wait
+for them: until the second one, everything that an upstream runs counts as untracked."""
 
-PAUSE_S = 0.25
-"""Between two questions to one upstream; a run lasts for 0.7 s at least."""
+PROBE_INTERVAL_S = 0.25
+"""Interval between probes of one upstream; shorter than the shortest attempt."""
 
-ASKERS = 12
-"""Up to this many instances all ask this often, more of them more rarely: all pay for
-what they ask, and all must know."""
+FULL_RATE_INSTANCES = 12
+"""Up to this many instances probe at the full rate. The interval grows in proportion in
+larger fleets, to bound the probes per upstream."""
 
-DOUBT_S = 0.5
-"""For so long a doubted upstream is asked, two times or so, unless it has unknown runs:
-a run that is left goes on at once or never."""
+UNCERTAIN_S = 0.5
+"""How long an upstream with uncertain counts is probed, about two times, unless it has
+untracked requests."""
 
-SPREAD_S = 0.1
-"""Instances that doubt at the same moment begin to ask within this time."""
+MAX_JITTER_S = 0.1
+"""Jitter for instances whose counts become uncertain at the same time."""
 
-MOST_AT_ONCE = 24
-"""Upstreams that are asked side by side. A question takes 0.1 s, and a millisecond of
-processor time: a fleet of thousands of upstreams is asked by samples, for a quarter
-of a core at most while there are doubts."""
+MAX_CONCURRENT_PROBES = 24
+"""Limits processor time to a quarter of a core: a probe takes 0.1 s and uses a
+millisecond. In a fleet of thousands of upstreams, random samples are probed."""
 
-REPORT_AGE_S = 0.1
-"""A report is as old as this at most; what is known is looked at for so long before."""
+MAX_REPORT_AGE_S = 0.1
+"""Greatest age of a report; the known load is sampled for this long before it."""
 
-_LOOKS = 12
-"""How often, so that what starts and ends between is seen, and how long it was so."""
+_LOAD_SAMPLES = 12
+"""Samples of the known load per probe, to see attempts that start and end meanwhile."""
 
 _log = part_logger("survey")
 
 
 @attrs.define
-class _Asked:
-    """What this instance remembers of its questions to an upstream.
+class _ProbeState:
+    """Probing of one upstream; times are in trio's time.
 
     Attributes:
-      doubted_until: Until when counts may not tell of it.
-      next_at: When it may be asked again.
-      believed_at: When its unknown runs were last learnt of.
+      uncertain_until: Until when its counts are uncertain.
+      next_probe_at: Earliest time of the next probe.
+      estimated_at: When its untracked requests were last estimated.
     """
 
-    doubted_until: float = float("-inf")
-    next_at: float = float("-inf")
-    believed_at: float = float("-inf")
+    uncertain_until: float = float("-inf")
+    next_probe_at: float = float("-inf")
+    estimated_at: float = float("-inf")
 
 
 class LoadProber:
-    """Keeps the unknown runs at upstreams up to date while there may be some.
+    """Estimates the untracked requests at upstreams while there may be some.
 
     Attributes:
-      on_change: Told when the number of unknown runs at an upstream has changed.
-      probe_count: Reports asked for.
+      on_change: Called when the estimate for an upstream has changed.
+      probe_count: Number of probes so far.
     """
 
     def __init__(
@@ -97,120 +93,128 @@
         self.on_change: Callable[[], None] = lambda: None
         self.probe_count = 0
         self._rng = rng
-        self._asking: set[UpstreamId] = set()
-        self._of: dict[UpstreamId, _Asked] = {}
-        self._doubt = trio.Event()
-        self._all_until = float("inf")
+        self._probing: set[UpstreamId] = set()
+        self._probe_states: dict[UpstreamId, _ProbeState] = {}
+        self._uncertain = trio.Event()
+        self._probe_all_until = float("inf")
 
     async def run(self) -> None:
-        """Asks until cancelled."""
+        """Probes upstreams until cancelled."""
         while not self.placement.states:
-            await trio.sleep(LISTED_LOOK_S)
+            await trio.sleep(LIST_CHECK_INTERVAL_S)
         async with trio.open_nursery() as nursery:
             for state in self._due(trio.current_time()):
-                self._asking.add(state.id)
-                nursery.start_soon(self._ask_first, state)
-            await trio.sleep(FIRST_AFTER_S)
-            self._all_until = trio.current_time() + AFTER_START_S
+                self._probing.add(state.id)
+                nursery.start_soon(self._probe_at_startup, state)
+            await trio.sleep(STARTUP_DELAY_S)
+            self._probe_all_until = trio.current_time() + STARTUP_PROBING_S
             while True:
                 for state in self._due(trio.current_time()):
-                    self._asking.add(state.id)
-                    nursery.start_soon(self._ask, state)
-                with trio.move_on_after(self._pause_s()):
-                    await self._doubt.wait()
-                    await trio.sleep(self._rng.uniform(0, SPREAD_S))
-                self._doubt = trio.Event()
+                    self._probing.add(state.id)
+                    nursery.start_soon(self._probe, state)
+                with trio.move_on_after(self._probe_interval_s()):
+                    await self._uncertain.wait()
+                    await trio.sleep(self._rng.uniform(0, MAX_JITTER_S))
+                self._uncertain = trio.Event()
 
     def mark_uncertain(self, upstreams: Collection[UpstreamId]) -> None:
-        """Notes that counts may not tell of these upstreams now."""
-        until = trio.current_time() + DOUBT_S
+        """Marks the counts of these upstreams as uncertain, and probes them."""
+        uncertain_until = trio.current_time() + UNCERTAIN_S
         for upstream in upstreams:
-            self._of.setdefault(upstream, _Asked()).doubted_until = until
-        self._doubt.set()
+            self._probe_states.setdefault(
+                upstream, _ProbeState()
+            ).uncertain_until = uncertain_until
+        self._uncertain.set()
 
     def record_abandoned_attempt(self, state: UpstreamState, *, stalled: bool) -> None:
-        """Notes that a run was left, of which the upstream may not know.
+        """Records an abandoned attempt that the upstream may still run.
 
         Args:
           state: The upstream.
-          stalled: Whether the run was given up for its silence. If not, the upstream
-            may only have paused, and is asked first.
+          stalled: Whether the attempt had stalled, so that it counts as untracked at
+            once. Otherwise the upstream is probed first.
         """
         state.unheard += 1
         self.mark_uncertain([state.id])
         if stalled:
             state.unknown += 1
-            self._of[state.id].believed_at = trio.current_time()
+            self._probe_states[state.id].estimated_at = trio.current_time()
 
     def _due(self, now: float) -> list[UpstreamState]:
-        """Returns the upstreams to be asked now, some of them if there are many."""
+        """Returns the upstreams to be probed now, a random sample of them if many."""
         states = self.placement.states
-        for upstream, asked in list(self._of.items()):
+        for upstream, probe_state in list(self._probe_states.items()):
             state = states.get(upstream)
             if state is not None and now < state.unproved_until:
                 continue
             if state is not None and state.unknown:
-                if now >= asked.believed_at + HELD_S:
+                if now >= probe_state.estimated_at + HELD_S:
                     state.unheard = 0
-                    self._believe(state, 0)
-            elif upstream not in self._asking and now >= max(
-                self._all_until, asked.doubted_until
+                    self._set_untracked(state, 0)
+            elif upstream not in self._probing and now >= max(
+                self._probe_all_until, probe_state.uncertain_until
             ):
-                del self._of[upstream]
-        # In a large fleet there are thousands of upstreams, of which few are in doubt.
-        looked_at = states if now < self._all_until else self._of.keys() & states.keys()
-        if now < self._all_until:
-            self._mark_unproved()
-        due = [states[u] for u in looked_at if self._is_due(states[u], now)]
-        room = max(0, MOST_AT_ONCE - len(self._asking))
-        return due if len(due) <= room else self._rng.sample(due, room)
-
-    def _mark_unproved(self) -> None:
-        """Marks upstreams that were never asked: any may run requests of before."""
-        until = min(self._all_until, trio.current_time() + AFTER_START_S) + HELD_S
+                del self._probe_states[upstream]
+        # In a large fleet, only few of thousands of upstreams are uncertain.
+        candidates = (
+            states
+            if now < self._probe_all_until
+            else self._probe_states.keys() & states.keys()
+        )
+        if now < self._probe_all_until:
+            self._mark_unverified()
+        due = [states[u] for u in candidates if self._is_due(states[u], now)]
+        capacity = max(0, MAX_CONCURRENT_PROBES - len(self._probing))
+        return due if len(due) <= capacity else self._rng.sample(due, capacity)
+
+    def _mark_unverified(self) -> None:
+        """Marks upstreams that were never probed: they may run requests from before."""
+        unverified_until = (
+            min(self._probe_all_until, trio.current_time() + STARTUP_PROBING_S) + HELD_S
+        )
         for upstream, state in self.placement.states.items():
-            if upstream not in self._of:
-                state.unproved_until = until
+            if upstream not in self._probe_states:
+                state.unproved_until = unverified_until
 
     def _is_due(self, state: UpstreamState, now: float) -> bool:
-        if state.id in self._asking:
+        if state.id in self._probing:
             return False
-        asked = self._of.get(state.id)
-        if asked is None:
-            return now < self._all_until
-        doubted = now < max(self._all_until, asked.doubted_until)
-        open_question = now < state.unproved_until or state.unknown > 0
-        return (doubted or open_question) and now >= asked.next_at
-
-    def _pause_s(self) -> float:
+        probe_state = self._probe_states.get(state.id)
+        if probe_state is None:
+            return now < self._probe_all_until
+        uncertain = now < max(self._probe_all_until, probe_state.uncertain_until)
+        unresolved = now < state.unproved_until or state.unknown > 0
+        return (uncertain or unresolved) and now >= probe_state.next_probe_at
+
+    def _probe_interval_s(self) -> float:
         others = len(self.placement.peers.tellers())
-        pause_s = PAUSE_S * max(1.0, (others + 1) / ASKERS)
-        return pause_s * self._rng.uniform(0.8, 1.2)
+        interval_s = PROBE_INTERVAL_S * max(1.0, (others + 1) / FULL_RATE_INSTANCES)
+        return interval_s * self._rng.uniform(0.8, 1.2)
 
-    async def _ask_first(self, state: UpstreamState) -> None:
-        """Takes all that an upstream runs as unknown, until others have told."""
-        report = await self._report(state)
+    async def _probe_at_startup(self, state: UpstreamState) -> None:
+        """Counts all requests at an upstream that are not known yet as untracked."""
+        report = await self._request_report(state)
         if report is None:
             return
         running = report.running + report.waiting
-        asked = self._of.setdefault(state.id, _Asked())
-        asked.believed_at = trio.current_time()
+        probe_state = self._probe_states.setdefault(state.id, _ProbeState())
+        probe_state.estimated_at = trio.current_time()
         state.unproved_until = float("-inf")
-        self._believe(state, max(0, running - self.placement.known_load(state)))
+        self._set_untracked(state, max(0, running - self.placement.known_load(state)))
 
-    async def _ask(self, state: UpstreamState) -> None:
-        asked = self._of.setdefault(state.id, _Asked())
-        # Doubts of other upstreams wake this one too; its own pause is kept by half.
-        asked.next_at = trio.current_time() + self._pause_s() / 2
+    async def _probe(self, state: UpstreamState) -> None:
+        probe_state = self._probe_states.setdefault(state.id, _ProbeState())
+        # Other upstreams may wake the loop early; wait for at least half an interval.
+        probe_state.next_probe_at = trio.current_time() + self._probe_interval_s() / 2
         unheard = state.unheard
-        known = await self._look(state)
-        report = await self._report(state)
+        known = await self._sample_known_load(state)
+        report = await self._request_report(state)
         if report is None:
             return
         if state.unheard != unheard:
-            return  # A run that was left meanwhile is in some of the counts only.
+            return  # An attempt abandoned meanwhile is in only some of the samples.
         known.append(self.placement.known_load(state))
-        asked.believed_at = trio.current_time()
+        probe_state.estimated_at = trio.current_time()
         state.unproved_until = float("-inf")
         reported = report.running + report.waiting
         unknown = believed_runs(state.unknown, reported=reported, known=known)
@@ -219,7 +223,7 @@
         if unknown == state.unknown:
             return
         _log.info(
-            "Runs that nobody has told of.",
+            "Number of untracked requests changed.",
             upstream=state.id,
             unknown=unknown,
             before=state.unknown,
@@ -227,27 +231,27 @@
             waiting=report.waiting,
             known=known[-1],
         )
-        self._believe(state, unknown)
+        self._set_untracked(state, unknown)
 
-    async def _report(self, state: UpstreamState) -> UpstreamReport | None:
-        """Returns an upstream's report, None if it gives none; ends the question."""
+    async def _request_report(self, state: UpstreamState) -> UpstreamReport | None:
+        """Returns an upstream's report, or None if the probe failed."""
         try:
             self.probe_count += 1
             return await self.caller.report(state.upstream)
         except UpstreamCallError as error:
-            _log.debug("An upstream did not report.", reason=str(error))
+            _log.debug("Load probe failed.", reason=str(error))
             return None
         finally:
-            self._asking.discard(state.id)
+            self._probing.discard(state.id)
 
-    async def _look(self, state: UpstreamState) -> list[int]:
-        """Returns how many runs are known at moments of the time of the report."""
+    async def _sample_known_load(self, state: UpstreamState) -> list[int]:
+        """Returns samples of the known load over the possible age of a report."""
         known = [self.placement.known_load(state)]
-        for _ in range(_LOOKS):
-            await trio.sleep(REPORT_AGE_S / _LOOKS)
+        for _ in range(_LOAD_SAMPLES):
+            await trio.sleep(MAX_REPORT_AGE_S / _LOAD_SAMPLES)
             known.append(self.placement.known_load(state))
         return known
 
-    def _believe(self, state: UpstreamState, unknown: int) -> None:
+    def _set_untracked(self, state: UpstreamState, unknown: int) -> None:
         state.unknown = unknown
         self.on_change()
