--- a/src/coppercleat/jobs/_items.py
+++ b/src/coppercleat/jobs/_items.py
@@ -21,26 +21,26 @@
     format_fingerprint,
 )
 from coppercleat.serving import (
+    AbandonedAttempts,
+    AttemptKind,
     EventSequence,
-    EventSplitter,
+    EventStreamParser,
     NoUpstreamAvailable,
     OnlineRequest,
     Placement,
     QueuePosition,
     Rank,
     Route,
-    RunKind,
-    SilentRuns,
-    UpstreamAnswer,
-    UpstreamBrokeError,
     UpstreamCaller,
+    UpstreamCallError,
+    UpstreamResponse,
     UpstreamState,
     YieldTimer,
-    head_of,
     incarnation_probe,
+    incompleteness_reason,
     is_event_stream,
-    looks_for_silence,
-    why_incomplete,
+    response_head,
+    stall_check_times,
 )
 from coppercleat.upstreams import Attempt, AttemptState
 
@@ -106,7 +106,7 @@
         instance: InstanceId,
         on_change: Callable[[UpstreamState, bool], None],
         on_end: Callable[[str], None],
-        silent_runs: SilentRuns | None = None,
+        abandoned_attempts: AbandonedAttempts | None = None,
         crash_detector: CrashDetector[UpstreamState] | None = None,
     ) -> None:
         """Prepares the runner.
@@ -117,13 +117,13 @@
           instance: This instance's id, to agree with peers on who cuts.
           on_change: Told of each run that starts (True) or ends (False).
           on_end: Told how each run ended.
-          silent_runs: Told of runs that were left while unheard; None for its own.
+          abandoned_attempts: Records abandoned attempts; None for its own.
           crash_detector: Knows requests that end their upstreams; None for its own.
         """
         self.placement = placement
         self.caller = caller
         self.instance = instance
-        self.silent_runs = silent_runs or SilentRuns()
+        self.abandoned_attempts = abandoned_attempts or AbandonedAttempts()
         self.crash_detector = crash_detector or CrashDetector(incarnation_probe(caller))
         self.item_quarantine = ItemQuarantine(self.crash_detector, placement)
         self.on_change = on_change
@@ -255,7 +255,7 @@
         )
         self._record_crash_evidence(running, attempt, outcome)
         if outcome in (ItemAttemptOutcome.BROKEN, ItemAttemptOutcome.FAILED):
-            if running.stalled_since is None or self.silent_runs.blames(
+            if running.stalled_since is None or self.abandoned_attempts.counts_against(
                 state, running.stalled_since
             ):
                 _record_failure(state, attempt)
@@ -334,7 +334,7 @@
                     resume_after=item.last_event,
                 ) as answer:
                     outcome = await _receive_events(running, answer)
-            except UpstreamBrokeError as error:
+            except UpstreamCallError as error:
                 running.disconnected = error.disconnected
                 _log.info(
                     "Item broke off.",
@@ -357,16 +357,16 @@
             silent = running.stall.cancelled_caught
             if attempt.state is AttemptState.SENT and (silent or cut):
                 running.stalled_since = running.heard_at if silent else None
-                self.silent_runs.left(
+                self.abandoned_attempts.record(
                     running.state,
-                    RunKind.ITEM,
-                    heard_at=running.heard_at,
-                    silent=silent,
+                    AttemptKind.ITEM,
+                    last_received_at=running.heard_at,
+                    stalled=silent,
                 )
 
     async def end_silent(self) -> None:
         """Ends runs at upstreams that have fallen silent, until cancelled."""
-        async for now in looks_for_silence():
+        async for now in stall_check_times():
             for running in self._running:
                 if running.heard_at and now - running.heard_at > STALL_S:
                     running.stall.cancel()
@@ -402,15 +402,15 @@
 
 
 async def _receive_events(
-    running: RunningItem, answer: UpstreamAnswer
+    running: RunningItem, answer: UpstreamResponse
 ) -> ItemAttemptOutcome:
     """Takes an item's events and returns how the run ended.
 
     Raises:
-      UpstreamBrokeError: The run is not complete, or not one of this item.
+      UpstreamCallError: The run is not complete, or not one of this item.
     """
     item = running.item
-    if answer.other_instance:
+    if answer.wrong_upstream:
         running.state.gone = True
         return ItemAttemptOutcome.NOT_RUN
     if answer.refused:
@@ -420,12 +420,12 @@
     if answer.status == _FAILED:
         return ItemAttemptOutcome.FAILED
     if answer.status != 200:
-        raise UpstreamBrokeError(f"the upstream answered {answer.status}")
+        raise UpstreamCallError(f"the upstream answered {answer.status}")
     if not is_event_stream(answer):
-        raise UpstreamBrokeError("no stream of events")
-    media_type = head_of(answer).media_type
-    splitter = EventSplitter()
-    sequence = EventSequence(item.last_event, numbered=True)
+        raise UpstreamCallError("no stream of events")
+    media_type = response_head(answer).media_type
+    splitter = EventStreamParser()
+    sequence = EventSequence(item.last_event, require_numbers=True)
     async for data in answer.body:
         whole, in_order = sequence.take(splitter.feed(data))
         for event in whole:
@@ -435,14 +435,14 @@
                 item.media_type = media_type
                 running.heard_at = trio.current_time()
         if not in_order:
-            raise UpstreamBrokeError("an event is out of order")
-    if incomplete := why_incomplete(
-        splitter, sequence, framed=answer.framed, may_move=True
+            raise UpstreamCallError("an event is out of order")
+    if incomplete := incompleteness_reason(
+        splitter, sequence, self_delimited=answer.self_delimited, may_fail_over=True
     ):
-        raise UpstreamBrokeError(incomplete)
+        raise UpstreamCallError(incomplete)
     # Any empty answer would else pass for a run that went on after the last event.
-    if not sequence.length and media_type != item.media_type:
-        raise UpstreamBrokeError("what was to go on with a stream is of another kind")
+    if not sequence.event_count and media_type != item.media_type:
+        raise UpstreamCallError("what was to go on with a stream is of another kind")
     return ItemAttemptOutcome.COMPLETE
 
 
--- a/src/coppercleat/serving/_incarnation_probe.py
+++ b/src/coppercleat/serving/_incarnation_probe.py
@@ -7,9 +7,9 @@
 from coppercleat.observability import part_logger
 from coppercleat.quarantine import ProbeResult
 from coppercleat.serving._upstream_call import (
-    NothingListensError,
-    UpstreamBrokeError,
     UpstreamCaller,
+    UpstreamCallError,
+    UpstreamNotListeningError,
 )
 from coppercleat.serving._upstream_state import UpstreamState
 
@@ -30,10 +30,10 @@
     async def probe(state: UpstreamState) -> ProbeResult:
         try:
             report = await caller.report(state.upstream)
-        except NothingListensError:
+        except UpstreamNotListeningError:
             return ProbeResult.NOTHING_LISTENS
-        except UpstreamBrokeError as error:
-            _log.debug("An upstream did not answer a probe.", reason=str(error))
+        except UpstreamCallError as error:
+            _log.debug("An upstream did not report.", reason=str(error))
             return ProbeResult.NO_ANSWER
         _log.debug(
             "An upstream answered a probe.",
--- a/src/coppercleat/serving/_peers.py
+++ b/src/coppercleat/serving/_peers.py
@@ -1,4 +1,4 @@
-"""What gateway instances tell each other: signs of life, work in flight, routes."""
+"""Messages between gateway instances: heartbeats, work in flight, routes, jobs."""
 
 from __future__ import annotations
 
@@ -29,50 +29,53 @@
 from coppercleat.serving._settings import GatewaySettings
 from coppercleat.serving._work_counts import InFlight
 
-HEARTBEAT_S = 0.5
+HEARTBEAT_INTERVAL_S = 0.5
 SUSPECT_AFTER_S = 2.0
-"""Four heartbeats: one lost message or a busy moment is no death."""
+"""Four heartbeats, so that a lost message or a busy moment makes nobody suspect."""
 
 _FANOUT = 4
-_TELL_ALL = 24
-"""Up to this many members all tell all of work in flight. Beyond, members tell those of
-their own availability zone, and one of each zone tells the others of the whole zone."""
+_FULL_MESH_MAX_PEERS = 24
+"""Up to this many peers, every instance sends its counts to every other one. In a
+larger fleet it sends them within its availability zone, and one instance of each zone
+sends the sums of its zone to the other zones."""
 
-_TELL_FAR_S = 0.3
-"""How often a zone tells the others: its members mostly use its own upstreams."""
+_ZONE_REPORT_INTERVAL_S = 0.3
+"""Interval between the counts of a zone; other zones rarely use its upstreams."""
 
-_TELL_UNCHANGED_S = 1.0
-"""How often counts are told that have not changed; see ``HELD_S``."""
+_COUNTS_REFRESH_S = 1.0
+"""Interval between unchanged counts; see ``COUNTS_EXPIRY_S``."""
 
-HELD_S = 10.0
-"""Counts of a peer that lives stay for so long when they are not told anew: its work
-goes on, and others would take slots that it holds. A silent link is mended in a second;
-counts that stay for ever would keep slots from being used."""
+COUNTS_EXPIRY_S = 10.0
+"""How long the counts of a live peer are kept without a refresh. Its work continues
+while a link to it is broken, and links are reopened within about a second."""
 
-WAITING_STALE_S = 1.5
-"""What waits elsewhere is told once a second; after this it has a slot or is late, and
-slots left to it would stay open."""
+QUEUED_WORK_EXPIRY_S = 1.5
+"""How long a peer's queued work is kept without a refresh, longer than the refresh
+interval. Slots reserved for work that is gone would stay unused."""
 
-ZONE_STALE_S = 2.5
-"""A zone is told of every 0.3 s; 2 s after its teller's death another one tells."""
+ZONE_COUNTS_EXPIRY_S = 2.5
+"""How long the counts of a zone without live peers are kept; if the zone's reporter
+crashes, another one takes over after ``SUSPECT_AFTER_S``."""
 
-_GATHER_S = 0.03
-"""Ends of requests are told together this often; starts at once."""
+_BATCHING_DELAY_S = 0.03
+"""Finished attempts are reported together after this delay, started ones at once."""
 
-_ASK_PAUSE_S = 0.3
+_ROUTES_REQUEST_INTERVAL_S = 0.3
 
-_TEACH_BEATS = 4
-"""With so many beats one that is heard anew is told the ends under requests: links to
-an instance that has just started are found silent, and what they carry is lost."""
+_CRASH_REPORT_REPEATS = 4
+"""Heartbeats with which crash reports are repeated to an instance that has just
+appeared: the first links to it may be broken, and lose messages."""
 
 _log = part_logger("peers")
 
 
 class WorkInFlight(msgspec.Struct, frozen=True, tag="work", array_like=True):
-    """All that the sender has in flight or waiting; replaces what it told before.
+    """All work that the sender has in flight or queued; replaces its previous message.
 
     Attributes:
-      rates: Online requests a second that arrive at the sender, by service.
+      counts: Attempts in flight, by upstream.
+      waiting: Queued work.
+      rates: Arrival rate of online requests at the sender, per second, by service.
     """
 
     counts: tuple[InFlight, ...]
@@ -80,32 +83,39 @@
     rates: dict[str, float] = {}
 
 
-class ZoneWork(msgspec.Struct, frozen=True, tag="zone", array_like=True):
-    """All that the sender's availability zone has in flight; replaces what was told."""
+class ZoneWorkInFlight(msgspec.Struct, frozen=True, tag="zone", array_like=True):
+    """All work in flight in an availability zone; replaces the previous message.
+
+    Attributes:
+      zone: The sender's availability zone.
+      counts: Attempts in flight in the whole zone, by upstream.
+      rates: Arrival rate of online requests in the zone, per second, by service.
+    """
 
     zone: ZoneId
     counts: tuple[InFlight, ...]
     rates: dict[str, float] = {}
 
 
-class ResultsSeen(msgspec.Struct, frozen=True, tag="results", array_like=True):
-    """How the sender's attempts at upstreams have ended since it last told."""
+class AttemptResultsReport(msgspec.Struct, frozen=True, tag="results", array_like=True):
+    """Results of the sender's attempts since its previous message."""
 
     results: tuple[AttemptResults, ...]
 
 
-class KnowledgeWanted(msgspec.Struct, frozen=True, tag="ask", array_like=True):
-    """Asks for routes newer than a version, and for the list of upstreams."""
+class RoutesRequest(msgspec.Struct, frozen=True, tag="ask", array_like=True):
+    """Requests routes newer than version ``after``, and the list of upstreams."""
 
     after: int
 
 
-class Knowledge(msgspec.Struct, frozen=True, tag="know", array_like=True):
-    """Routes and upstreams as the sender knows them.
+class RoutesSnapshot(msgspec.Struct, frozen=True, tag="know", array_like=True):
+    """The sender's routes and upstreams.
 
     Attributes:
-      config: None if the asker's is as new.
-      upstreams_age_s: Seconds since the sender read the list from the platform.
+      config: Routes; None if the requester's version is as new.
+      upstreams: All upstreams of the list.
+      upstreams_age_s: Seconds since the sender read the list of upstreams.
     """
 
     config: RouteConfig | None
@@ -113,19 +123,21 @@
     upstreams_age_s: float
 
 
-class JobTaken(msgspec.Struct, frozen=True, tag="taken", array_like=True):
-    """The sender has taken a job over; whoever ran it before must stop."""
+class JobTakeover(msgspec.Struct, frozen=True, tag="taken", array_like=True):
+    """The sender has taken over a job; its previous owner must stop running it."""
 
     job: JobId
 
 
 class ItemEvents(msgspec.Struct, frozen=True, array_like=True):
-    """What an instance that must stop had made of an item.
+    """Progress of a previous owner on an item.
 
     Attributes:
+      index: Position of the item in its job.
       last_event: Number of the last event.
       events: Data of each event.
-      complete: Whether that is all of it.
+      failures: Failed attempts.
+      complete: Whether the item is finished.
     """
 
     index: int
@@ -136,7 +148,7 @@
 
 
 class JobHandover(msgspec.Struct, frozen=True, tag="handover", array_like=True):
-    """Answers ``JobTaken`` with what the sender had made of the job."""
+    """Response to ``JobTakeover`` with the sender's progress on the job."""
 
     job: JobId
     items: list[ItemEvents]
@@ -146,38 +158,40 @@
     Heartbeat
     | LinkCheck
     | WorkInFlight
-    | ZoneWork
-    | ResultsSeen
+    | ZoneWorkInFlight
+    | AttemptResultsReport
     | CrashUpdate
-    | KnowledgeWanted
-    | Knowledge
-    | JobTaken
+    | RoutesRequest
+    | RoutesSnapshot
+    | JobTakeover
     | JobHandover
 )
 _handlers = HandlerRegistry()
 
 
-class Peers:
-    """This instance's end of all that gateway instances tell each other.
+class GatewayPeers:
+    """Exchanges messages with the other gateway instances.
 
     Attributes:
-      detector: Which instances are heard of.
-      messenger: Sends to them and receives.
-      dropped: Messages that could not be taken.
-      silenced: Times that a peer's work in flight was dropped.
-      on_peer_dropped: Told at which upstreams a peer or a zone had work when what it
-        had told was dropped: the work may go on.
-      knowledge: Returns what this instance would tell an asker.
-      on_knowledge: Told what a peer knows.
-      waits: Returns whether anything waits for a slot at this instance.
-      waiting: Returns what waits.
-      on_counts: Told when a peer's work in flight has changed.
-      on_taken: Told of a job that a peer has taken over; returns what this instance
-        had made of it.
-      on_handover: Told what a peer had made of a job.
-      ends: Returns the ends under requests that are known here.
-      on_ends: Told the ends that a peer has found or heard of, and what was cleared;
-        returns whether any of it is news.
+      detector: Detects which instances are alive.
+      messenger: Sends and receives messages.
+      dropped: Counts of messages that were dropped.
+      expired_counts: How often the counts of a peer expired.
+      version: Returns the version of the routes of this instance.
+      needs_routes: Returns whether this instance has no fresh routes or upstreams.
+      routes_snapshot: Returns the snapshot for a peer with a version of the routes.
+      on_routes_snapshot: Called with a peer's snapshot.
+      on_counts_changed: Called when the counts of a peer or a zone have changed.
+      has_waiting: Returns whether work is queued at this instance.
+      waiting: Returns the queued work of this instance.
+      on_counts_expired: Called with the upstreams of expired counts, which may still
+        run the work.
+      on_job_takeover: Called with a job that a peer has taken over; returns this
+        instance's progress on it.
+      on_job_handover: Called with a peer's progress on a job that was taken over here.
+      crash_reports: Returns the crash reports known to this instance.
+      on_crash_update: Called with a peer's crash reports and cleared requests; returns
+        whether any of them is new.
     """
 
     def __init__(
@@ -202,44 +216,51 @@
             own, suspect_after_s=SUSPECT_AFTER_S, fanout=_FANOUT, rng=rng
         )
         self.version: Callable[[], int] = lambda: 0
-        self.starved: Callable[[], bool] = lambda: False
-        self.knowledge: Callable[[int], Knowledge | None] = lambda after: None
-        self.on_knowledge: Callable[[Knowledge], None] = lambda knowledge: None
-        self.on_counts: Callable[[], None] = lambda: None
-        self.waits: Callable[[], bool] = lambda: False
+        self.needs_routes: Callable[[], bool] = lambda: False
+        self.routes_snapshot: Callable[[int], RoutesSnapshot | None] = lambda after: (
+            None
+        )
+        self.on_routes_snapshot: Callable[[RoutesSnapshot], None] = (
+            lambda routes_snapshot: None
+        )
+        self.on_counts_changed: Callable[[], None] = lambda: None
+        self.has_waiting: Callable[[], bool] = lambda: False
         self.waiting: Callable[[], tuple[QueuedWork, ...]] = tuple
-        self.on_peer_dropped: Callable[[Collection[UpstreamId]], None] = (
+        self.on_counts_expired: Callable[[Collection[UpstreamId]], None] = (
             lambda upstreams: None
         )
-        self.on_taken: Callable[[JobId], list[ItemEvents]] = lambda job: []
-        self.on_handover: Callable[[JobId, list[ItemEvents]], None] = (
+        self.on_job_takeover: Callable[[JobId], list[ItemEvents]] = lambda job: []
+        self.on_job_handover: Callable[[JobId, list[ItemEvents]], None] = (
             lambda job, items: None
         )
-        self.ends: Callable[[], tuple[CrashReport, ...]] = tuple
-        self.on_ends: Callable[[InstanceId, CrashUpdate], bool] = lambda sender, seen: (
-            False
+        self.crash_reports: Callable[[], tuple[CrashReport, ...]] = tuple
+        self.on_crash_update: Callable[[InstanceId, CrashUpdate], bool] = (
+            lambda sender, seen: False
         )
         self.dropped = DroppedMessages()
         self.messenger = Messenger(
             self.detector,
             listen=settings.peers,
             seeds=settings.seeds,
-            # Peers share no secret on this network; the name keeps fleets apart.
+            # No secret on this network; the name only separates fleets.
             keys=[settings.fleet_name],
             receiver=self,
             handlers=_handlers,
             messages=_Messages,
-            on_garbage=self.dropped.note,
-            on_reopened=self._on_reopened,
+            on_garbage=self.dropped.record,
+            on_reopened=self._on_link_reopened,
+        )
+        self.expired_counts = 0
+        self._routes_requested_at = float("-inf")
+        self._counts_sent_at = float("-inf")
+        self._crash_report_repeats: dict[InstanceId, int] = {}
+        self._last_sent_counts: tuple[tuple[InFlight, ...], tuple[QueuedWork, ...]] = (
+            (),
+            (),
         )
-        self.silenced = 0
-        self._asked_at = float("-inf")
-        self._told_at = float("-inf")
-        self._to_teach: dict[InstanceId, int] = {}
-        self._told_last: tuple[tuple[InFlight, ...], tuple[QueuedWork, ...]] = ((), ())
-        self._met: dict[InstanceId, int] = {}
-        self._counts_at: dict[InstanceId, float] = {}
-        self._zones_at: dict[ZoneId, float] = {}
+        self._incarnations: dict[InstanceId, int] = {}
+        self._peer_counts_at: dict[InstanceId, float] = {}
+        self._zone_counts_at: dict[ZoneId, float] = {}
         self._changed = trio.Event()
         self._urgent = trio.Event()
 
@@ -247,269 +268,306 @@
         """Sends and receives until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.messenger.run)
-            nursery.start_soon(self._beat_forever)
-            nursery.start_soon(self._tell_forever)
-            nursery.start_soon(self._tell_far_forever)
+            nursery.start_soon(self._send_heartbeats)
+            nursery.start_soon(self._send_counts_on_change)
+            nursery.start_soon(self._send_zone_counts)
 
     def work_changed(self, *, urgent: bool) -> None:
-        """Notes that work in flight or waiting has changed.
+        """Schedules a message about changed work in flight or queued.
 
-        Starts are urgent: others would take the same slot. So are ends while something
-        waits for the slot, here or elsewhere, in a fleet that is small enough.
+        In a small fleet every change is urgent while work is queued anywhere.
+
+        Args:
+          urgent: Whether to skip the batching delay. Started attempts are urgent, since
+            peers would otherwise take the same slot.
         """
         self._changed.set()
-        if urgent or (self._tells_all() and self._scarce()):
+        if urgent or (self._is_full_mesh() and self._slots_are_scarce()):
             self._urgent.set()
 
-    def _scarce(self) -> bool:
-        return bool(self.placement.peer_queues) or self.waits()
+    def _slots_are_scarce(self) -> bool:
+        return bool(self.placement.peer_queues) or self.has_waiting()
 
-    def _tells_all(self) -> bool:
-        return len(self.placement.peers.reporters()) <= _TELL_ALL
+    def _is_full_mesh(self) -> bool:
+        return len(self.placement.peers.reporters()) <= _FULL_MESH_MAX_PEERS
 
-    def job_taken(self, job: JobId) -> None:
-        """Tells all others that this instance has taken a job over."""
-        for instance in self.others():
-            self.messenger.send(instance, JobTaken(job))
+    def announce_job_takeover(self, job: JobId) -> None:
+        """Tells all live peers that this instance has taken over a job."""
+        for instance in self.live_peers():
+            self.messenger.send(instance, JobTakeover(job))
 
-    def ends_found(
-        self, ends: tuple[CrashReport, ...], cleared: tuple[Fingerprint, ...]
+    def announce_crashes(
+        self, crash_reports: tuple[CrashReport, ...], cleared: tuple[Fingerprint, ...]
     ) -> None:
-        """Tells others of upstreams that ended under requests.
+        """Sends crash reports and cleared requests to the peers.
 
-        In a large fleet a few are told, who pass on what is news to them: as many links
-        as members can't be kept, and what a link carries is lost when it is closed.
+        In a large fleet they spread by gossip, since an instance cannot keep a link to
+        every other one.
         """
-        self._spread_ends(CrashUpdate(ends, cleared))
+        self._gossip_crashes(CrashUpdate(crash_reports, cleared))
 
-    def _spread_ends(self, seen: CrashUpdate) -> None:
-        others = self.others()
-        if len(others) > _TELL_ALL:
-            others = self.detector.audience()
-        for instance in others:
+    def _gossip_crashes(self, seen: CrashUpdate) -> None:
+        recipients = self.live_peers()
+        if len(recipients) > _FULL_MESH_MAX_PEERS:
+            recipients = self.detector.audience()
+        for instance in recipients:
             self.messenger.send(instance, seen)
 
-    def listed(self, members: list[tuple[InstanceId, str, ZoneId]]) -> None:
-        """Takes instances and their addresses as the platform keeps them.
+    def observe_list(self, members: list[tuple[InstanceId, str, ZoneId]]) -> None:
+        """Updates the known instances and their addresses from the platform's list.
 
-        Those that are listed for the first time are greeted, so that both ends tell
-        each other of their work at once: after all have started together, each would
-        else take the same free slots until a beat of each has reached each.
+        New instances are greeted, so that both sides exchange counts before their next
+        heartbeats. Otherwise instances that start together would take the same slots.
         """
         now = trio.current_time()
         known = set(self.detector.members)
         self.detector.observe_list(members, now)
         new = set(self.detector.members) - known
-        self.messenger.greet(self._near(list(new)))
+        self.messenger.greet(self._counts_recipients(list(new)))
 
-    def others(self) -> list[InstanceId]:
-        """Returns the other instances that are heard of."""
+    def live_peers(self) -> list[InstanceId]:
+        """Returns the other instances with recent heartbeats."""
         return self.detector.alive(trio.current_time())[1:]
 
     # Sending.
 
-    async def _beat_forever(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             now = trio.current_time()
             self.messenger.beat(now, revision=Revision(self.version()))
-            self.forget_silent(now)
-            self._ask_if_behind(now)
-            self._tell_results()
-            self._teach()
-            if now - self._told_at >= _TELL_UNCHANGED_S - HEARTBEAT_S / 2:
+            self.expire_stale_counts(now)
+            self._request_newer_routes(now)
+            self._send_results()
+            self._repeat_crash_reports()
+            if (
+                now - self._counts_sent_at
+                >= _COUNTS_REFRESH_S - HEARTBEAT_INTERVAL_S / 2
+            ):
                 self.work_changed(urgent=False)
-            await trio.sleep(HEARTBEAT_S)
-
-    def forget_silent(self, now: float) -> None:
-        """Gives up what was told by those that are dead or have told nothing since."""
-        for gone in set(self._met) - set(self.detector.members):
-            del self._met[gone]
-        silent = [
-            p for p in self.placement.peers.reporters() if self._is_silent(p, now)
+            await trio.sleep(HEARTBEAT_INTERVAL_S)
+
+    def expire_stale_counts(self, now: float) -> None:
+        """Drops counts of dead peers and zones, and counts without a recent refresh."""
+        for removed in set(self._incarnations) - set(self.detector.members):
+            del self._incarnations[removed]
+        peers = [
+            p
+            for p in self.placement.peers.reporters()
+            if self._have_peer_counts_expired(p, now)
         ]
         zones = [
-            z for z in self.placement.zones.reporters() if self._zone_is_silent(z, now)
+            z
+            for z in self.placement.zones.reporters()
+            if self._have_zone_counts_expired(z, now)
         ]
-        changed = self._forget_waiting(now)
-        for peer in silent:
-            self._drop_peer(peer)
+        changed = self._expire_queued_work(now)
+        for peer in peers:
+            self._expire_peer_counts(peer)
         for zone in zones:
-            self._drop_zone(zone)
-        if changed or silent or zones:
-            self.on_counts()
+            self._expire_zone_counts(zone)
+        if changed or peers or zones:
+            self.on_counts_changed()
 
-    def _is_silent(self, peer: InstanceId, now: float) -> bool:
-        """Returns whether a peer has died or not told of its work for long.
+    def _have_peer_counts_expired(self, peer: InstanceId, now: float) -> bool:
+        """Returns whether a peer is dead or its counts are too old.
 
-        While it lives its work goes on, though it can't be heard here.
+        The counts of a live peer are kept for longer, since its work continues.
         """
-        told_s = now - self._counts_at.get(peer, float("-inf"))
-        lives = self.detector.is_alive(peer, now) or told_s <= SUSPECT_AFTER_S
-        if lives and told_s <= HELD_S:
+        age_s = now - self._peer_counts_at.get(peer, float("-inf"))
+        is_alive = self.detector.is_alive(peer, now) or age_s <= SUSPECT_AFTER_S
+        if is_alive and age_s <= COUNTS_EXPIRY_S:
             return False
-        told_s = round(told_s, 1)
-        _log.warning("A peer fell silent.", peer=peer, told_s=told_s, lives=lives)
+        age_s = round(age_s, 1)
+        _log.warning(
+            "Counts of a peer expired.", peer=peer, told_s=age_s, lives=is_alive
+        )
         return True
 
-    def _zone_is_silent(self, zone: ZoneId, now: float) -> bool:
-        """Returns whether a zone has died or not told of its work for long."""
-        told_s = now - self._zones_at.get(zone, float("-inf"))
-        lives = any(self.detector.zone_of(peer) == zone for peer in self.others())
-        if told_s <= (HELD_S if lives else ZONE_STALE_S):
+    def _have_zone_counts_expired(self, zone: ZoneId, now: float) -> bool:
+        """Returns whether a zone is dead or its counts are too old."""
+        age_s = now - self._zone_counts_at.get(zone, float("-inf"))
+        is_alive = any(
+            self.detector.zone_of(peer) == zone for peer in self.live_peers()
+        )
+        if age_s <= (COUNTS_EXPIRY_S if is_alive else ZONE_COUNTS_EXPIRY_S):
             return False
-        told_s = round(told_s, 1)
-        _log.warning("A zone fell silent.", zone=zone, told_s=told_s, lives=lives)
+        age_s = round(age_s, 1)
+        _log.warning(
+            "Counts of a zone expired.", zone=zone, told_s=age_s, lives=is_alive
+        )
         return True
 
-    def _forget_waiting(self, now: float) -> bool:
-        """Drops what was told to wait too long ago; returns whether there was any."""
-        stale = [
+    def _expire_queued_work(self, now: float) -> bool:
+        """Drops peers' queued work that is too old; returns whether there was any."""
+        expired = [
             peer
             for peer in self.placement.peer_queues.reporters()
-            if now - self._counts_at.get(peer, float("-inf")) > WAITING_STALE_S
+            if now - self._peer_counts_at.get(peer, float("-inf"))
+            > QUEUED_WORK_EXPIRY_S
         ]
-        for peer in stale:
+        for peer in expired:
             self.placement.peer_queues.forget(peer)
-        return bool(stale)
+        return bool(expired)
 
-    def _drop_peer(self, peer: InstanceId) -> None:
-        """Gives up what a peer has told, and has its upstreams asked instead."""
+    def _expire_peer_counts(self, peer: InstanceId) -> None:
+        """Drops the counts of a peer and reports which upstreams they concerned."""
         upstreams = self.placement.peers.upstreams_of(peer)
-        self._forget_peer(peer)
-        self.silenced += 1
-        self.on_peer_dropped(upstreams)
+        self._forget_peer_counts(peer)
+        self.expired_counts += 1
+        self.on_counts_expired(upstreams)
 
-    def _drop_zone(self, zone: ZoneId) -> None:
+    def _expire_zone_counts(self, zone: ZoneId) -> None:
         upstreams = self.placement.zones.upstreams_of(zone)
-        self._forget_zone(zone)
-        self.on_peer_dropped(upstreams)
+        self._forget_zone_counts(zone)
+        self.on_counts_expired(upstreams)
 
-    def _forget_peer(self, peer: InstanceId) -> None:
+    def _forget_peer_counts(self, peer: InstanceId) -> None:
         self.placement.peers.forget(peer)
         self.placement.peer_queues.forget(peer)
         self.placement.demand.forget(peer)
-        self._counts_at.pop(peer, None)
+        self._peer_counts_at.pop(peer, None)
 
-    def _forget_zone(self, zone: ZoneId) -> None:
+    def _forget_zone_counts(self, zone: ZoneId) -> None:
         self.placement.zones.forget(zone)
         self.placement.demand.forget(zone)
-        self._zones_at.pop(zone, None)
+        self._zone_counts_at.pop(zone, None)
+
+    def _on_link_reopened(self, silent: Silent) -> None:
+        """Sends everything again to a peer whose link was broken.
 
-    def _on_reopened(self, silent: Silent) -> None:
-        """Tells all to whom a link was silent; what waits there isn't known by now."""
+        Its queued work is dropped if its messages may have been lost as well.
+        """
         if silent.way is Way.EITHER and self.placement.peer_queues.forget(silent.peer):
-            self.on_counts()
-        self._tell_ends(silent.peer)
-        if silent.peer in self._near(self.others()):
-            self._tell_work(silent.peer)
+            self.on_counts_changed()
+        self._send_crash_reports(silent.peer)
+        if silent.peer in self._counts_recipients(self.live_peers()):
+            self._send_counts_to(silent.peer)
 
-    def _tells_as_one(self, zone: ZoneId | None, now: float) -> bool:
-        """Returns whether a whole zone's work has been told of lately."""
+    def _has_zone_counts(self, zone: ZoneId | None, now: float) -> bool:
+        """Returns whether there are recent counts of a whole zone."""
         if zone is None:
             return False
-        return now - self._zones_at.get(zone, float("-inf")) <= ZONE_STALE_S
-
-    def _ask_if_behind(self, now: float) -> None:
-        """Asks whoever has newer routes, or anybody while the store is away."""
-        _, ahead = self.detector.highest_revision()
-        if ahead is None and self.starved():
-            others = self.others()
-            ahead = others[int(now * 10) % len(others)] if others else None
-        if ahead is None or now - self._asked_at < _ASK_PAUSE_S:
+        return (
+            now - self._zone_counts_at.get(zone, float("-inf")) <= ZONE_COUNTS_EXPIRY_S
+        )
+
+    def _request_newer_routes(self, now: float) -> None:
+        """Requests routes from a peer with a newer version, or from any if needed."""
+        _, newer_peer = self.detector.highest_revision()
+        if newer_peer is None and self.needs_routes():
+            live_peers = self.live_peers()
+            newer_peer = (
+                live_peers[int(now * 10) % len(live_peers)] if live_peers else None
+            )
+        if (
+            newer_peer is None
+            or now - self._routes_requested_at < _ROUTES_REQUEST_INTERVAL_S
+        ):
             return
-        self._asked_at = now
-        self.messenger.send(ahead, KnowledgeWanted(self.version()))
+        self._routes_requested_at = now
+        self.messenger.send(newer_peer, RoutesRequest(self.version()))
+
+    def _send_results(self) -> None:
+        """Sends attempt results within the availability zone.
 
-    def _tell_results(self) -> None:
-        """Tells the own availability zone: from another an upstream may look well."""
+        A network fault may concern an upstream's connections from one zone only.
+        """
         results = self.placement.take_unreported_results()
         if not results:
             return
-        for instance in self.others():
+        for instance in self.live_peers():
             if self.detector.zone_of(instance) == self.settings.zone:
-                self.messenger.send(instance, ResultsSeen(tuple(results)))
+                self.messenger.send(instance, AttemptResultsReport(tuple(results)))
 
-    async def _tell_forever(self) -> None:
+    async def _send_counts_on_change(self) -> None:
         while True:
             await self._changed.wait()
-            with trio.move_on_after(_GATHER_S):
+            with trio.move_on_after(_BATCHING_DELAY_S):
                 await self._urgent.wait()
             self._changed = trio.Event()
             self._urgent = trio.Event()
-            self._told_at = trio.current_time()
-            self._tell_all(self._near(self.others()))
-
-    def _tell_all(self, instances: Iterable[InstanceId]) -> None:
-        """Tells of work in flight and waiting; it is routine if nothing has changed."""
-        work = self._own_work()
-        told, self._told_last = self._told_last, (work.counts, work.waiting)
-        kind = Kind.ROUTINE if told == self._told_last else Kind.NEWS
+            self._counts_sent_at = trio.current_time()
+            self._send_counts(self._counts_recipients(self.live_peers()))
+
+    def _send_counts(self, instances: Iterable[InstanceId]) -> None:
+        """Sends this instance's work in flight, as routine if nothing has changed."""
+        work = self._own_work_in_flight()
+        previous, self._last_sent_counts = (
+            self._last_sent_counts,
+            (work.counts, work.waiting),
+        )
+        kind = Kind.ROUTINE if previous == self._last_sent_counts else Kind.NEWS
         for instance in instances:
             self.messenger.send(instance, work, kind=kind)
 
-    def _tell_ends(self, instance: InstanceId) -> None:
-        """Tells one that was not heard of for a while what it may have missed."""
-        ends = self.ends()
-        if ends:
-            self.messenger.send(instance, CrashUpdate(ends))
+    def _send_crash_reports(self, instance: InstanceId) -> None:
+        """Sends all known crash reports to a peer that may have missed some."""
+        crash_reports = self.crash_reports()
+        if crash_reports:
+            self.messenger.send(instance, CrashUpdate(crash_reports))
 
-    def _teach(self) -> None:
-        """Tells ends to those that were heard anew, and to one other by chance.
+    def _repeat_crash_reports(self) -> None:
+        """Sends all crash reports to new peers and to a random one (anti-entropy).
 
-        Whatever was lost on the way reaches all in the end: with as many members as
-        pick one, each is picked about once a beat.
+        A lost report reaches every instance eventually, since each is chosen about once
+        per heartbeat interval.
         """
-        others = self.others()
-        chosen = self.placement.rng.choice(others) if others else None
-        ends = self.ends()
-        for instance in {*self._to_teach, *([chosen] if chosen else [])}:
-            if ends:
-                self.messenger.send(instance, CrashUpdate(ends))
-        self._to_teach = {
-            instance: beats - 1
-            for instance, beats in self._to_teach.items()
-            if beats > 1
+        live_peers = self.live_peers()
+        random_peer = self.placement.rng.choice(live_peers) if live_peers else None
+        crash_reports = self.crash_reports()
+        for instance in {
+            *self._crash_report_repeats,
+            *([random_peer] if random_peer else []),
+        }:
+            if crash_reports:
+                self.messenger.send(instance, CrashUpdate(crash_reports))
+        self._crash_report_repeats = {
+            instance: repeats - 1
+            for instance, repeats in self._crash_report_repeats.items()
+            if repeats > 1
         }
 
-    def _tell_work(self, instance: InstanceId) -> None:
-        """Tells one of work in flight and waiting that may know nothing of it."""
-        self.messenger.send(instance, self._own_work())
+    def _send_counts_to(self, instance: InstanceId) -> None:
+        """Sends this instance's work in flight to a peer that may not know it."""
+        self.messenger.send(instance, self._own_work_in_flight())
 
-    def _own_work(self) -> WorkInFlight:
+    def _own_work_in_flight(self) -> WorkInFlight:
         return WorkInFlight(
             tuple(self.placement.own_in_flight()),
             self.waiting(),
             self.placement.demand.own_rates(now=trio.current_time()),
         )
 
-    async def _tell_far_forever(self) -> None:
-        """Tells other zones of this one's work, if that falls to this instance."""
+    async def _send_zone_counts(self) -> None:
+        """Sends this zone's work to the others while this instance is its reporter."""
         while True:
-            await trio.sleep(_TELL_FAR_S)
-            others = self.others()
-            near = self._near(others)
-            if len(near) == len(others):
+            await trio.sleep(_ZONE_REPORT_INTERVAL_S)
+            live_peers = self.live_peers()
+            recipients = self._counts_recipients(live_peers)
+            if len(recipients) == len(live_peers):
                 continue
-            if self.settings.instance != self._reporter(self.settings.zone):
+            if self.settings.instance != self._zone_reporter(self.settings.zone):
                 continue
-            rates = self.placement.demand.combined_rates(near, now=trio.current_time())
-            zone_work = ZoneWork(
+            rates = self.placement.demand.combined_rates(
+                recipients, now=trio.current_time()
+            )
+            zone_work = ZoneWorkInFlight(
                 self.settings.zone, tuple(self.placement.own_zone_in_flight()), rates
             )
-            for instance in set(others) - set(near):
+            for instance in set(live_peers) - set(recipients):
                 self.messenger.send(instance, zone_work, kind=Kind.ROUTINE)
 
-    def _near(self, others: list[InstanceId]) -> list[InstanceId]:
-        """Returns those that this instance tells of its own work."""
-        if len(others) <= _TELL_ALL:
-            return others
+    def _counts_recipients(self, live_peers: list[InstanceId]) -> list[InstanceId]:
+        """Returns the peers to which this instance sends its own counts."""
+        if len(live_peers) <= _FULL_MESH_MAX_PEERS:
+            return live_peers
         own = self.settings.zone
-        return [i for i in others if self.detector.zone_of(i) == own]
+        return [i for i in live_peers if self.detector.zone_of(i) == own]
 
-    def _reporter(self, zone: ZoneId | None) -> InstanceId | None:
-        """Returns who tells the others of a zone's work: the first that lives."""
-        living = [self.settings.instance, *self.others()]
-        of_zone = [i for i in living if self.detector.zone_of(i) == zone]
+    def _zone_reporter(self, zone: ZoneId | None) -> InstanceId | None:
+        """Returns the instance that sends a zone's counts: the lowest live id."""
+        alive = [self.settings.instance, *self.live_peers()]
+        of_zone = [i for i in alive if self.detector.zone_of(i) == zone]
         return min(of_zone, default=None)
 
     # Receiving.
@@ -518,74 +576,76 @@
     def _on_heartbeat(self, sender: InstanceId, heartbeat: Heartbeat) -> None:
         now = trio.current_time()
         incarnation = heartbeat.own.incarnation
-        met = self.detector.is_alive(sender, now)
-        # Others may have told of it before; it has heard nothing from here yet.
-        met = met and self._met.get(sender) == incarnation
-        self._met[sender] = incarnation
+        is_known = self.detector.is_alive(sender, now)
+        # A peer that was known through others has received nothing from here yet.
+        is_known = is_known and self._incarnations.get(sender) == incarnation
+        self._incarnations[sender] = incarnation
         self.detector.observe(heartbeat, now)
-        if not met:
-            # What was told before did not reach it.
-            self._tell_ends(sender)
-            self._to_teach[sender] = _TEACH_BEATS
-            if sender in self._near(self.others()):
-                self._tell_work(sender)
+        if not is_known:
+            # Earlier messages did not reach it.
+            self._send_crash_reports(sender)
+            self._crash_report_repeats[sender] = _CRASH_REPORT_REPEATS
+            if sender in self._counts_recipients(self.live_peers()):
+                self._send_counts_to(sender)
 
     @_handlers.handles(WorkInFlight)
-    def _on_work(self, sender: InstanceId, work: WorkInFlight) -> None:
+    def _on_work_in_flight(self, sender: InstanceId, work: WorkInFlight) -> None:
         now = trio.current_time()
         zone = self.detector.zone_of(sender)
-        if self._tells_as_one(zone, now):
-            # It takes the fleet to be small still; its zone's sums hold this already.
+        if self._has_zone_counts(zone, now):
+            # The sender has not noticed the fleet's growth; its zone's sums include it.
             return
-        if zone in self._zones_at:
-            self._forget_zone(zone)
+        if zone in self._zone_counts_at:
+            self._forget_zone_counts(zone)
         if self.detector.has_died(sender, now):
-            # Nothing was told to it while it was taken for dead.
-            self._tell_work(sender)
-        self._counts_at[sender] = now
+            # Nothing was sent to it while it was taken for dead.
+            self._send_counts_to(sender)
+        self._peer_counts_at[sender] = now
         self.placement.peers.observe(sender, work.counts)
         self.placement.peer_queues.observe(sender, work.waiting, now=now)
         self.placement.demand.observe(sender, work.rates)
-        self.on_counts()
+        self.on_counts_changed()
 
-    @_handlers.handles(ZoneWork)
-    def _on_zone_work(self, sender: InstanceId, work: ZoneWork) -> None:
+    @_handlers.handles(ZoneWorkInFlight)
+    def _on_zone_work(self, sender: InstanceId, work: ZoneWorkInFlight) -> None:
         if work.zone == self.settings.zone:
             return
-        self._zones_at[work.zone] = trio.current_time()
+        self._zone_counts_at[work.zone] = trio.current_time()
         self.placement.zones.observe(work.zone, work.counts)
         self.placement.demand.observe(work.zone, work.rates)
         for peer in self.placement.peers.reporters():
             if self.detector.zone_of(peer) == work.zone:
-                self._forget_peer(peer)
-        self.on_counts()
+                self._forget_peer_counts(peer)
+        self.on_counts_changed()
 
-    @_handlers.handles(ResultsSeen)
-    def _on_results(self, sender: InstanceId, seen: ResultsSeen) -> None:
+    @_handlers.handles(AttemptResultsReport)
+    def _on_results(self, sender: InstanceId, seen: AttemptResultsReport) -> None:
         self.placement.observe_results(seen.results, now=trio.current_time())
 
     @_handlers.handles(CrashUpdate)
-    def _on_ends(self, sender: InstanceId, seen: CrashUpdate) -> None:
-        news = self.on_ends(sender, seen)
-        if news and len(self.others()) > _TELL_ALL:
-            self._spread_ends(seen)
-
-    @_handlers.handles(KnowledgeWanted)
-    def _on_wanted(self, sender: InstanceId, wanted: KnowledgeWanted) -> None:
-        knowledge = self.knowledge(wanted.after)
-        if knowledge is not None:
-            self.messenger.send(sender, knowledge)
-
-    @_handlers.handles(Knowledge)
-    def _on_known(self, sender: InstanceId, knowledge: Knowledge) -> None:
-        self.on_knowledge(knowledge)
-
-    @_handlers.handles(JobTaken)
-    def _on_taken(self, sender: InstanceId, taken: JobTaken) -> None:
-        items = self.on_taken(taken.job)
+    def _on_crashes(self, sender: InstanceId, seen: CrashUpdate) -> None:
+        is_new = self.on_crash_update(sender, seen)
+        if is_new and len(self.live_peers()) > _FULL_MESH_MAX_PEERS:
+            self._gossip_crashes(seen)
+
+    @_handlers.handles(RoutesRequest)
+    def _on_routes_request(self, sender: InstanceId, request: RoutesRequest) -> None:
+        routes_snapshot = self.routes_snapshot(request.after)
+        if routes_snapshot is not None:
+            self.messenger.send(sender, routes_snapshot)
+
+    @_handlers.handles(RoutesSnapshot)
+    def _on_routes_snapshot(
+        self, sender: InstanceId, routes_snapshot: RoutesSnapshot
+    ) -> None:
+        self.on_routes_snapshot(routes_snapshot)
+
+    @_handlers.handles(JobTakeover)
+    def _on_job_takeover(self, sender: InstanceId, takeover: JobTakeover) -> None:
+        items = self.on_job_takeover(takeover.job)
         if items:
-            self.messenger.send(sender, JobHandover(taken.job, items))
+            self.messenger.send(sender, JobHandover(takeover.job, items))
 
     @_handlers.handles(JobHandover)
-    def _on_handover(self, sender: InstanceId, handover: JobHandover) -> None:
-        self.on_handover(handover.job, handover.items)
+    def _on_job_handover(self, sender: InstanceId, handover: JobHandover) -> None:
+        self.on_job_handover(handover.job, handover.items)
--- a/src/coppercleat/serving/_sequence.py
+++ b/src/coppercleat/serving/_sequence.py
@@ -1,4 +1,4 @@
-"""Checks that the events of a run follow on what is already had, one by one."""
+"""Checks that the events of an attempt are consecutive and continue an earlier one."""
 
 from __future__ import annotations
 
@@ -6,34 +6,35 @@
 
 
 class EventSequence:
-    """Follows the events of one run.
+    """The events of one attempt.
 
     Attributes:
-      last: Number of the last event, of an earlier run to begin with; None for none.
-      numbered: Whether every event with data must have a number.
-      length: Events of this run so far; those with neither number nor data are none.
+      last: Number of the last event, initially of the attempt that is resumed; None
+        if there is none.
+      require_numbers: Whether every event with data must have a number.
+      event_count: Events of this attempt with a number or data.
     """
 
-    def __init__(self, last: int | None, *, numbered: bool = False) -> None:
+    def __init__(self, last: int | None, *, require_numbers: bool = False) -> None:
         self.last = last
-        self.numbered = numbered
-        self.length = 0
+        self.require_numbers = require_numbers
+        self.event_count = 0
 
     def take(self, events: list[StreamEvent]) -> tuple[list[StreamEvent], bool]:
-        """Returns the events that follow, and whether that is all of them."""
+        """Returns the leading events that are in order, and whether all of them are."""
         for index, event in enumerate(events):
-            if not self._follows(event):
+            if not self._is_next(event):
                 return events[:index], False
         return events, True
 
-    def _follows(self, event: StreamEvent) -> bool:
+    def _is_next(self, event: StreamEvent) -> bool:
         if event.number is None:
-            # Before the first number nothing tells whether the client has it already.
-            placed = self.last is None or self.length > 0
-            self.length += bool(event.data)
-            return not event.data or (placed and not self.numbered)
+            # A resumed stream may repeat data before its first number.
+            position_known = self.last is None or self.event_count > 0
+            self.event_count += bool(event.data)
+            return not event.data or (position_known and not self.require_numbers)
         if self.last is not None and event.number != self.last + 1:
             return False
         self.last = event.number
-        self.length += 1
+        self.event_count += 1
         return True
--- a/src/coppercleat/serving/_silence.py
+++ b/src/coppercleat/serving/_silence.py
@@ -1,4 +1,4 @@
-"""Ends attempts at upstreams that have fallen silent, where another is better."""
+"""Ends stalled attempts that can fail over to another upstream."""
 
 from __future__ import annotations
 
@@ -13,94 +13,97 @@
 from coppercleat.serving._upstream_state import UpstreamState
 
 FIRST_EVENT_STALL_S = 0.8
-FIRST_EVENT_STALL_TARGETS = 2.5
-"""Without a first event for this long, or so many times the route's target, a stream
-that may be resumed goes elsewhere. Well past the time to read the longest prompt
-beside a full batch (about 0.1 s)."""
+FIRST_EVENT_STALL_TARGET_FACTOR = 2.5
+"""A resumable stream without a first event for this long, or for this many times the
+route's target if that is longer, has stalled. Far above the prefill time of the longest
+prompt beside a full batch (about 0.1 s)."""
 
-GAP_STALL_S = 0.6
-GAP_STALL_TARGETS = 3.0
-"""The same between events, which come some 20 ms apart."""
+EVENT_GAP_STALL_S = 0.6
+EVENT_GAP_STALL_TARGET_FACTOR = 3.0
+"""The same limits between events, which arrive some 20 ms apart."""
 
-SILENCE_LOOK_S = 0.05
-"""Between looks for a slot elsewhere, for a request whose upstream is silent."""
+CHECK_INTERVAL_S = 0.05
+"""Interval between checks for stalled attempts."""
 
-LATE_LOOK_S = 3 * SILENCE_LOOK_S
-"""A look that comes so late is left out, once: a busy process looks some ms late."""
+LATE_CHECK_S = 3 * CHECK_INTERVAL_S
+"""A check later than this means that the process was suspended; a busy process is only
+some milliseconds late."""
 
 
-def first_patience_s(route: Route) -> float:
-    """Returns for how long an upstream may be silent before the first event."""
-    return max(FIRST_EVENT_STALL_S, FIRST_EVENT_STALL_TARGETS * route.target_latency_s)
+def first_event_stall_s(route: Route) -> float:
+    """Returns the seconds without a first event after which a stream has stalled."""
+    return max(
+        FIRST_EVENT_STALL_S, FIRST_EVENT_STALL_TARGET_FACTOR * route.target_latency_s
+    )
 
 
-def gap_patience_s(route: Route) -> float:
-    """Returns for how long an upstream may be silent between events."""
-    return max(GAP_STALL_S, GAP_STALL_TARGETS * route.gap_target_s)
+def event_gap_stall_s(route: Route) -> float:
+    """Returns the seconds between events after which a stream has stalled."""
+    return max(EVENT_GAP_STALL_S, EVENT_GAP_STALL_TARGET_FACTOR * route.gap_target_s)
 
 
-async def looks_for_silence() -> AsyncIterator[float]:
-    """Yields the time of each look, but of none that comes late.
+async def stall_check_times() -> AsyncIterator[float]:
+    """Yields the time of each check for stalls; skips the first of several late ones.
 
-    What came while this process stood still has not been read at a late look, and would
-    be taken for silence.
+    After a suspension of the process, data may have arrived that has not been read yet.
+    Without this exception its sender would seem to have stalled.
     """
-    looked_at, waited = trio.current_time(), False
+    checked_at, skipped = trio.current_time(), False
     while True:
-        await trio.sleep(SILENCE_LOOK_S)
+        await trio.sleep(CHECK_INTERVAL_S)
         now = trio.current_time()
-        late = now - looked_at > LATE_LOOK_S
-        looked_at = now
-        waited = late and not waited
-        if not waited:
+        late = now - checked_at > LATE_CHECK_S
+        checked_at = now
+        skipped = late and not skipped
+        if not skipped:
             yield now
 
 
-class SilenceWatch:
-    """Looks at all open attempts of an instance by turns.
+class StallDetector:
+    """Checks the open attempts of an instance for stalls.
 
     Attributes:
-      placement: Knows whether a slot is open elsewhere.
+      placement: Used to find open slots at other upstreams.
     """
 
     def __init__(self, placement: Placement) -> None:
         self.placement = placement
-        self._open: dict[Exchange, tuple[UpstreamState, trio.CancelScope]] = {}
+        self._open_attempts: dict[Exchange, tuple[UpstreamState, trio.CancelScope]] = {}
 
     @contextlib.contextmanager
-    def watched(self, exchange: Exchange, state: UpstreamState) -> Iterator[None]:
-        """Has an attempt ended if the upstream is silent and another is not."""
+    def watching(self, exchange: Exchange, state: UpstreamState) -> Iterator[None]:
+        """Ends the attempt in its body if it stalls and can fail over."""
         scope = trio.CancelScope()
-        # Other answers may take as long as the route allows: silence proves nothing.
-        if exchange.route.kind is RouteKind.STREAM and exchange.progress.may_move:
-            self._open[exchange] = (state, scope)
+        # Other responses may take as long as the route allows.
+        if exchange.route.kind is RouteKind.STREAM and exchange.progress.may_fail_over:
+            self._open_attempts[exchange] = (state, scope)
         try:
             with scope:
                 yield
         finally:
-            self._open.pop(exchange, None)
+            self._open_attempts.pop(exchange, None)
 
     async def run(self) -> None:
-        """Ends attempts at silent upstreams, until cancelled."""
-        async for now in looks_for_silence():
-            for exchange, (state, scope) in list(self._open.items()):
+        """Ends stalled attempts until cancelled."""
+        async for now in stall_check_times():
+            for exchange, (state, scope) in list(self._open_attempts.items()):
                 if self._has_stalled(exchange, state, now):
-                    exchange.silent = True
+                    exchange.stalled = True
                     scope.cancel()
 
     def _has_stalled(
         self, exchange: Exchange, state: UpstreamState, now: float
     ) -> bool:
-        """Returns whether an upstream is silent and the request better off elsewhere.
+        """Returns whether an attempt has stalled and should fail over.
 
-        An upstream is silent too while the request waits in its queue. Leaving it then
-        for no free slot would lose the place, and the request may have run.
+        An upstream also sends nothing while the request waits in its queue. A failover
+        without an open slot would lose that position, and use up an attempt.
         """
         if exchange.progress.finished:
             return False
-        heard = exchange.heard_at > exchange.sent_at
-        patience_s = gap_patience_s if heard else first_patience_s
-        if now < exchange.heard_at + patience_s(exchange.route):
+        has_received = exchange.last_received_at > exchange.attempt_started_at
+        stall_s = event_gap_stall_s if has_received else first_event_stall_s
+        if now < exchange.last_received_at + stall_s(exchange.route):
             return False
         if not state.breaker.allows_request(now):
             return True
--- a/src/coppercleat/serving/_silent_runs.py
+++ b/src/coppercleat/serving/_silent_runs.py
@@ -1,4 +1,4 @@
-"""Runs of this instance that were left while their upstream was unheard."""
+"""Attempts that this instance abandoned and the upstream may still run."""
 
 from __future__ import annotations
 
@@ -15,46 +15,55 @@
 _log = part_logger("silence")
 
 
-class RunKind(enum.Enum):
-    """What was run."""
+class AttemptKind(enum.Enum):
+    """What was sent to the upstream."""
 
     ONLINE = "online"
     ITEM = "item"
 
 
-class OnLeft(Protocol):
-    """Told of a run that may still hold its slot."""
+class OnAbandoned(Protocol):
+    """Called for an attempt that may still hold its slot."""
 
-    def __call__(self, state: UpstreamState, *, silent: bool) -> None: ...
+    def __call__(self, state: UpstreamState, *, stalled: bool) -> None: ...
 
 
-class SilentRuns:
-    """Tells the instance's other parts of such runs, and what they say of an upstream.
+class AbandonedAttempts:
+    """Reports abandoned attempts, and decides which stalls count as failures.
 
     Attributes:
-      on_left: Told of each.
-      on_count: Told the kind of each, and how it was left.
+      on_abandoned: Called for each abandoned attempt.
+      on_count: Called with the kind of each and how it ended, for metrics.
     """
 
     def __init__(self) -> None:
-        self.on_left: OnLeft = lambda state, *, silent: None
+        self.on_abandoned: OnAbandoned = lambda state, *, stalled: None
         self.on_count: Callable[[str, str], None] = lambda kind, ended: None
 
-    def left(
-        self, state: UpstreamState, kind: RunKind, *, heard_at: float, silent: bool
+    def record(
+        self,
+        state: UpstreamState,
+        kind: AttemptKind,
+        *,
+        last_received_at: float,
+        stalled: bool,
     ) -> None:
-        """Notes a run that was left before its upstream had ended it.
+        """Records an attempt that was ended before its upstream had finished it.
+
+        An attempt that received something a moment ago is left out: its upstream sees
+        the closed connection and stops.
 
         Args:
           state: The upstream.
-          kind: What was run.
-          heard_at: When it began or its last event came, in trio's time.
-          silent: Whether it was given up since nothing came.
+          kind: What was sent.
+          last_received_at: When the attempt began or its last event arrived, in trio's
+            time.
+          stalled: Whether it was ended because it had stalled.
         """
-        silent_s = trio.current_time() - heard_at
-        if not silent and silent_s < ASSUME_RUNNING_AFTER_S:
+        silent_s = trio.current_time() - last_received_at
+        if not stalled and silent_s < ASSUME_RUNNING_AFTER_S:
             return
-        ended = "given_up" if silent else "left"
+        ended = "given_up" if stalled else "left"
         _log.info(
             "A run was left unheard.",
             upstream=state.id,
@@ -63,8 +72,11 @@
             silent_ms=round(silent_s * 1000),
         )
         self.on_count(kind.value, ended)
-        self.on_left(state, silent=silent)
+        self.on_abandoned(state, stalled=stalled)
+
+    def counts_against(self, state: UpstreamState, last_received_at: float) -> bool:
+        """Returns whether a stall counts as a failure of its upstream; records it.
 
-    def blames(self, state: UpstreamState, heard_at: float) -> bool:
-        """Returns whether a silence is held against its upstream, once a moment."""
-        return state.silences.is_new(heard_at)
+        Stalls of one upstream that began together count once.
+        """
+        return state.silences.is_new(last_received_at)
--- a/src/coppercleat/serving/_upstream_state.py
+++ b/src/coppercleat/serving/_upstream_state.py
@@ -9,7 +9,7 @@
 from coppercleat.routing import CircuitBreaker
 from coppercleat.serving._model import Upstream
 from coppercleat.serving._results import RecentResults
-from coppercleat.serving._silent_moments import SilentMoments
+from coppercleat.serving._silent_moments import StallOnsets
 
 MAX_EJECTION_S = 2.0
 """Longest ejection, in seconds. A trial costs one request a failed connection, while a
@@ -57,7 +57,7 @@
         factory=lambda: CircuitBreaker(max_ejection_s=MAX_EJECTION_S)
     )
     results: RecentResults = attrs.field(factory=RecentResults)
-    silences: SilentMoments = attrs.field(factory=SilentMoments)
+    silences: StallOnsets = attrs.field(factory=StallOnsets)
     online: int = 0
     batch: int = 0
     gone: bool = False
--- a/src/coppercleat/serving/_watch.py
+++ b/src/coppercleat/serving/_watch.py
@@ -22,7 +22,7 @@
     routes_poll_interval_s,
     upstreams_poll_interval_s,
 )
-from coppercleat.serving._peers import Knowledge
+from coppercleat.serving._peers import RoutesSnapshot
 from coppercleat.serving._placement import Placement
 from coppercleat.serving._settings import GatewaySettings
 from coppercleat.storage import (
@@ -238,7 +238,7 @@
         """Whether other instances that are not leaving had a row at the last read."""
         return any(not seen.row.leaving for seen in self._instances.values())
 
-    def starved(self) -> bool:
+    def needs_routes(self) -> bool:
         """Returns whether routes or upstreams are stale."""
         now = trio.current_time()
         return now - min(self._upstreams_at, self._routes_read_at) > _STALE_S
@@ -279,7 +279,7 @@
             *(n for n in names if self.is_owner_alive(n, since=now)),
         ]
 
-    def knowledge(self, after: int) -> Knowledge | None:
+    def routes_snapshot(self, after: int) -> RoutesSnapshot | None:
         """Returns the snapshot for a peer that asks, None if no routes are known.
 
         Args:
@@ -289,15 +289,15 @@
             return None
         config = self.table.config if self.version > after else None
         age = trio.current_time() - self._upstreams_at
-        return Knowledge(config, self._upstreams, min(age, 1e9))
+        return RoutesSnapshot(config, self._upstreams, min(age, 1e9))
 
-    def take_knowledge(self, knowledge: Knowledge) -> None:
+    def adopt_routes_snapshot(self, routes_snapshot: RoutesSnapshot) -> None:
         """Adopts a peer's routes and upstreams if they are newer."""
-        if knowledge.config is not None:
-            self._adopt(knowledge.config, source="a peer")
-        read_at = trio.current_time() - knowledge.upstreams_age_s
-        if knowledge.upstreams and read_at > self._upstreams_at + _STALE_S:
-            self._use(list(knowledge.upstreams), after_outage=False)
+        if routes_snapshot.config is not None:
+            self._adopt(routes_snapshot.config, source="a peer")
+        read_at = trio.current_time() - routes_snapshot.upstreams_age_s
+        if routes_snapshot.upstreams and read_at > self._upstreams_at + _STALE_S:
+            self._use(list(routes_snapshot.upstreams), after_outage=False)
             self._upstreams_at = read_at
 
     # Polling.
--- a/tests/features/steps/steadiness_steps.py
+++ b/tests/features/steps/steadiness_steps.py
@@ -18,10 +18,10 @@
 )
 from coppercleat.serving import (
     AdmissionQueue,
-    NothingListensError,
     Placement,
     QueuedRequest,
     Upstream,
+    UpstreamNotListeningError,
     UpstreamState,
     incarnation_probe,
 )
@@ -127,7 +127,7 @@
     """An upstream at whose address nothing listens."""
 
     async def report(self, asked):
-        raise NothingListensError("no report")
+        raise UpstreamNotListeningError("no report")
 
 
 @when("a run that {run} meets the end of an upstream that {lived}")
