--- a/tests/features/steps/quarantine_decision_steps.py
+++ b/tests/features/steps/quarantine_decision_steps.py
@@ -1,4 +1,4 @@
-"""Steps that ask decisions about requests under which upstreams ended."""
+"""Steps for verdicts on requests, and for the crash detection they depend on."""
 
 import random
 import time
@@ -64,69 +64,69 @@
     )
 
 
-def end_of(name, at):
-    """Returns an end of an upstream; "a1" is the first life of upstream a."""
+def crash_of(name, at):
+    """Returns a crash of an upstream; "a1" is the first incarnation of upstream a."""
     return Crash(UpstreamId(name[:1]), at, born_ms=int(name[1:] or 0))
 
 
-def learn(history, at, what, args):
-    told_at = float(args[1]) if len(args) > 1 else at
+def apply_evidence(history, at, what, args):
+    reported_at = float(args[1]) if len(args) > 1 else at
     number = int(args[2]) if len(args) > 2 and what != "row" else 1
-    learnt = {
-        "end": lambda: see(history, args[0], at, told_at),
-        "late": lambda: tell(history, args[0], at, told_at, number=number),
-        "lives": lambda: tell(history, args[0], at, told_at, retracted=True),
-        "broke": lambda: history.record_interruption(FINGERPRINT, args[0]),
-        "settled": lambda: history.resolve_interruption(FINGERPRINT, args[0]),
-        "answer": lambda: history.clear(FINGERPRINT, now=at),
+    actions = {
+        "crash": lambda: observe(history, args[0], at, reported_at),
+        "reported": lambda: report(history, args[0], at, reported_at, number=number),
+        "retracted": lambda: report(history, args[0], at, reported_at, retracted=True),
+        "interrupted": lambda: history.record_interruption(FINGERPRINT, args[0]),
+        "resolved": lambda: history.resolve_interruption(FINGERPRINT, args[0]),
+        "response": lambda: history.clear(FINGERPRINT, now=at),
         "trial": lambda: history.begin_trial(FINGERPRINT, now=at),
-        "untried": lambda: history.cancel_trial(FINGERPRINT),
-        "weak": lambda: see(history, args[0], at, told_at, weak=True),
-        "untold": lambda: history.merge_reports(
+        "cancelled": lambda: history.cancel_trial(FINGERPRINT),
+        "weak": lambda: observe(history, args[0], at, reported_at, weak=True),
+        "unweighted": lambda: history.merge_reports(
             [CrashReport(FINGERPRINT, UpstreamId(args[0]), 0.0)], (), now=at
         ),
-        "heard": lambda: history.merge_reports((), (), now=at),
+        "update": lambda: history.merge_reports((), (), now=at),
         "row": lambda: history.adopt(FINGERPRINT, row_of(args)),
     }
-    learnt[what]()
+    actions[what]()
 
 
 def row_of(args):
-    """Returns the ends of a row: for each its upstream, and where it is placed."""
+    """Returns the crashes in a row, from pairs of an upstream and a time."""
     return [
-        attrs.evolve(end_of(name, float(at)), number=1)
+        attrs.evolve(crash_of(name, float(at)), number=1)
         for name, at in zip(args[::2], args[1::2], strict=True)
     ]
 
 
-def see(history, name, at, attempt_began, *, weak=False):
-    seen = attrs.evolve(end_of(name, at), weak=weak)
-    end = history.identify_crash(FINGERPRINT, seen, attempt_began=attempt_began)
-    history.record_crash(FINGERPRINT, end)
+def observe(history, name, at, attempt_began, *, weak=False):
+    observed = attrs.evolve(crash_of(name, at), weak=weak)
+    crash = history.identify_crash(FINGERPRINT, observed, attempt_began=attempt_began)
+    history.record_crash(FINGERPRINT, crash)
 
 
-def tell(history, name, now, at, *, number=1, retracted=False):
-    end = attrs.evolve(end_of(name, at), number=number)
-    told = CrashReport.of(FINGERPRINT, end, now=now, retracted=retracted)
-    history.merge_reports([told], (), now=now)
+def report(history, name, now, at, *, number=1, retracted=False):
+    crash = attrs.evolve(crash_of(name, at), number=number)
+    sent = CrashReport.of(FINGERPRINT, crash, now=now, retracted=retracted)
+    history.merge_reports([sent], (), now=now)
 
 
-@when("of a request it is learnt, by the second: {learnt}")
-def learnt_of_request(context, learnt):
+@when("evidence on a request arrives, by the second: {evidence}")
+def evidence_arrives(context, evidence):
     context.history = CrashHistory()
-    for entry in learnt.split(", ") if learnt != "nothing" else ():
+    for entry in evidence.split(", ") if evidence != "nothing" else ():
         at, what, *args = entry.split()
-        learn(context.history, float(at), what, args)
+        apply_evidence(context.history, float(at), what, args)
 
 
-@then("at {at:g} s it is {standing}, for {retry:g} s")
-def stands(context, at, standing, retry):
+@then("at {at:g} s the verdict is {kind}, with a retry after {retry:g} s")
+def check_verdict(context, at, kind, retry):
     verdict = context.history.verdict(FINGERPRINT, now=at)
     expected = VerdictKind.FREE
-    if standing == "trial":
+    if kind == "trial":
         expected = VerdictKind.QUARANTINED
-    elif standing != "free":
-        expected = VerdictKind(standing)
+    elif kind != "free":
+        expected = VerdictKind(kind)
     assert verdict.kind is expected, verdict
     assert abs(verdict.retry_after_s - retry) < 1e-6, verdict
 
@@ -134,92 +134,92 @@
 OTHER = request(body=b"of another client").fingerprint
 
 
-def tell_of_end(watch, state, placement):
-    watch.apply_update("peer", (CrashReport(OTHER, state.id, 0.01),), ())
+def report_from_peer(detector, state, placement):
+    detector.apply_update("peer", (CrashReport(OTHER, state.id, 0.01),), ())
 
 
 AFTERWARDS = {
-    "is listed with another birth": lambda watch, state, placement: placement.replace(
-        [upstream(BORN + 5000)]
+    "is listed with another start time": lambda detector, state, placement: (
+        placement.replace([upstream(BORN + 5000)])
     ),
-    "answers nothing and is unlisted": lambda watch, state, placement: (
+    "does not respond and is not listed": lambda detector, state, placement: (
         placement.replace([])
     ),
-    "leaves unheard": lambda watch, state, placement: (
+    "drains without a response": lambda detector, state, placement: (
         placement.replace([upstream(draining=True)]),
         placement.replace([]),
     ),
-    "ends under others": lambda watch, state, placement: watch.record_interruption(
-        OTHER, state
+    "crashes under others": lambda detector, state, placement: (
+        detector.record_interruption(OTHER, state)
     ),
-    "ends under others, elsewhere told": tell_of_end,
-    "ends under others, told again late": tell_of_end,
-    "is found gone by the next request": lambda watch, state, placement: (
-        watch.record_connect_failure(state)
+    "crashes under others, as a peer reports": report_from_peer,
+    "crashes under others, as a peer reports twice": report_from_peer,
+    "refuses the next connection": lambda detector, state, placement: (
+        detector.record_connect_failure(state)
     ),
 }
 
 
-class AskedUpstream:
-    """Answers questions as a test says; the last answer stays."""
+class ProbedUpstream:
+    """Responds to probes as a test says; the last response is repeated."""
 
-    def __init__(self, answers):
-        self.answers = answers.split()
+    def __init__(self, probes):
+        self.probes = probes.split()
 
-    async def report(self, asked):
-        answer = self.answers[0]
-        if len(self.answers) > 1:
-            self.answers.pop(0)
-        if answer == "refused":
+    async def report(self, upstream):
+        probe = self.probes[0]
+        if len(self.probes) > 1:
+            self.probes.pop(0)
+        if probe == "refused":
             raise NothingListensError("no report")
-        if answer == "-":
+        if probe == "-":
             raise UpstreamBrokeError("no report")
-        born = {"same": BORN, "other": BORN + 5000, "unknown": 0}[answer]
+        born = {"same": BORN, "other": BORN + 5000, "unknown": 0}[probe]
         return UpstreamReport(running=0, waiting=0, born_ms=born)
 
 
-@when("a run {breaks} at an upstream that {does}: {answers}")
-def run_breaks(context, breaks, does, answers):
-    context.play = (breaks, does, answers)
+@when("an attempt {fails} at an upstream that {does}, with probe results {probes}")
+def attempt_fails(context, fails, does, probes):
+    context.attempt = (fails, does, probes)
 
 
-@then("{ends:d} ends are held against the request after {s:g} s")
-def ends_held(context, ends, s):
-    breaks, does, answers = context.play
+@then("{crashes:d} crashes count against the request after {s:g} s")
+def crashes_count(context, crashes, s):
+    fails, does, probes = context.attempt
     placement = Placement(ZoneId("z"), rng=random.Random(1))
-    placement.replace([upstream(draining=does == "is leaving")])
+    placement.replace([upstream(draining=does == "is draining")])
     state = placement.states[UpstreamId("a")]
     if does == "is no longer listed":
         placement.replace([])
-    watch = CrashDetector(life_question(AskedUpstream(answers)))
-    # Others end up with the same.
+    detector = CrashDetector(life_question(ProbedUpstream(probes)))
+    # Another instance has to record the same.
     other = CrashHistory()
-    watch.on_update = lambda found, cleared: other.merge_reports(
-        found, cleared, now=trio.current_time()
+    detector.on_update = lambda reports, cleared: other.merge_reports(
+        reports, cleared, now=trio.current_time()
     )
 
-    async def play():
+    async def run():
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(watch.run)
+            nursery.start_soon(detector.run)
             await trio.testing.wait_all_tasks_blocked()
-            if breaks.startswith("is left"):
-                watch.record_abandonment(FINGERPRINT, state)
-                await trio.sleep(2.0 if "before" in breaks else 0.1)
+            if fails.startswith("is abandoned"):
+                detector.record_abandonment(FINGERPRINT, state)
+                await trio.sleep(2.0 if "before" in fails else 0.1)
             else:
-                watch.record_interruption(
-                    FINGERPRINT, state, silent=breaks == "falls silent"
+                detector.record_interruption(
+                    FINGERPRINT, state, silent=fails == "stalls"
                 )
             if does in AFTERWARDS:
-                AFTERWARDS[does](watch, state, placement)
-            if does.endswith("told again late"):
+                AFTERWARDS[does](detector, state, placement)
+            if does.endswith("reports twice"):
                 await trio.sleep(0.7)
-                tell_of_end(watch, state, placement)
+                report_from_peer(detector, state, placement)
             await trio.sleep(s)
             nursery.cancel_scope.cancel()
 
-    trio.run(play, clock=trio.testing.MockClock(autojump_threshold=0))
-    assert len(watch.history.crashed_upstreams_of(FINGERPRINT)) == ends
-    assert len(other.crashed_upstreams_of(FINGERPRINT)) == ends
+    trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
+    assert len(detector.history.crashed_upstreams_of(FINGERPRINT)) == crashes
+    assert len(other.crashed_upstreams_of(FINGERPRINT)) == crashes
 
 
 @then("the fingerprint is {same} with another {part}")
@@ -255,41 +255,51 @@
         lambda s: [s.results.observe(failed=True, now=0.0) for _ in range(4)],
         lambda s: s.results.suspect(0.0),
     ),
-    "silences": (
+    "stalls": (
         lambda s: s.silences.is_new(0.0),
         lambda s: not s.silences.is_new(0.0),
     ),
-    "runs in flight": (lambda s: setattr(s, "online", 3), lambda s: s.online == 3),
-    "unknown runs": (lambda s: setattr(s, "unknown", 3), lambda s: s.unknown == 3),
-    "unheard runs": (lambda s: setattr(s, "unheard", 3), lambda s: s.unheard == 3),
+    "attempts in flight": (lambda s: setattr(s, "online", 3), lambda s: s.online == 3),
+    "untracked requests": (
+        lambda s: setattr(s, "unknown", 3),
+        lambda s: s.unknown == 3,
+    ),
+    "abandoned attempts": (
+        lambda s: setattr(s, "unheard", 3),
+        lambda s: s.unheard == 3,
+    ),
     "a full queue": (
         lambda s: setattr(s, "full_until", 9.0),
         lambda s: s.full_until == 9.0,
     ),
     "a wrong address": (lambda s: setattr(s, "gone", True), lambda s: s.gone),
 }
-BIRTHS = {"the same birth": BORN, "another birth": BORN + 5000, "no birth": 0}
+START_TIMES = {
+    "the same start time": BORN,
+    "another start time": BORN + 5000,
+    "no start time": 0,
+}
 
 
-@when("an upstream with {known} is listed with {birth}")
-def listed_again(context, known, birth):
+@when("an upstream with {known} is listed again with {start}")
+def listed_again(context, known, start):
     placement = Placement(ZoneId("z"), rng=random.Random(1))
     placement.replace([upstream()])
     state = placement.states[UpstreamId("a")]
-    if known == "runs that peers told":
-        told = [InFlight(UpstreamId("a"), 2, 0)]
-        placement.peers.observe(InstanceId("peer"), told)
+    if known == "attempts reported by peers":
+        counts = [InFlight(UpstreamId("a"), 2, 0)]
+        placement.peers.observe(InstanceId("peer"), counts)
     else:
         KNOWN[known][0](state)
-    placement.replace([upstream(BIRTHS[birth])])
+    placement.replace([upstream(START_TIMES[start])])
     context.placement, context.before = placement, state
 
 
-@then("what is known, {known}, is {kept}")
-def is_kept(context, known, kept):
+@then("its state, {known}, is {kept}")
+def state_is_kept(context, known, kept):
     state: UpstreamState = context.placement.states[UpstreamId("a")]
-    if known == "runs that peers told":
-        # Their connections broke too: each peer takes its own back, or its run goes on.
+    if known == "attempts reported by peers":
+        # Each peer corrects its own counts.
         assert context.placement.load(state) == 2
         return
     assert KNOWN[known][1](state) == (kept == "kept")
@@ -297,8 +307,8 @@
     assert context.before.restarted == (kept != "kept")
 
 
-class Kept:
-    """An instance's watch of the platform, with its ledger of ends."""
+class StoringInstance:
+    """An instance that exchanges its crash history with others by instance rows."""
 
     def __init__(self, name, platform, boot, *, wall_ahead_s=0.0):
         rng = random.Random(name)
@@ -311,62 +321,64 @@
             boot=boot,
             rng=rng,
         )
-        self.keeper = QuarantineStore(
+        self.store = QuarantineStore(
             self.history,
             clock=lambda: time.time() + wall_ahead_s,
             should_store=lambda f: True,
         )
-        self.watch.kept_ends = self.keeper.export_records
-        self.watch.on_kept_ends = self.keeper.import_records
+        self.watch.kept_ends = self.store.export_records
+        self.watch.on_kept_ends = self.store.import_records
 
-    def learn(self, ends):
+    def record_crashes(self, count):
         now = trio.current_time()
-        for number in range(ends):
-            end = Crash(UpstreamId(f"u{number}"), now - 10 + number, number=1)
-            self.history.record_crash(FINGERPRINT, end)
+        for number in range(count):
+            crash = Crash(UpstreamId(f"u{number}"), now - 10 + number, number=1)
+            self.history.record_crash(FINGERPRINT, crash)
 
 
-LEARNERS = {
+READERS = {
     "reads the rows": {},
-    "reads the rows, and knew of 3": {"knew": 3},
-    "reads the rows, after an answer": {"answered": True},
+    "reads the rows, and knew 3 before": {"knew": 3},
+    "reads the rows, after a response": {"cleared": True},
     "reads the rows twice": {"reads": 2},
-    "reads the rows with another time of day": {"wall_ahead_s": 5.0},
+    "reads the rows with a clock 5 s ahead": {"wall_ahead_s": 5.0},
 }
 
 
-async def learn_from_rows(ends, learns):
+async def read_rows(crashes, does):
     platform = MemoryPlatform()
-    first = Kept("first", platform, "b-1")
-    first.learn(ends)
+    first = StoringInstance("first", platform, "b-1")
+    first.record_crashes(crashes)
     await first.watch._renew()
-    if learns == "starts under the same name":
-        again = Kept("first", platform, "b-2")
+    if does == "restarts under the same name":
+        again = StoringInstance("first", platform, "b-2")
         await again.watch._renew()
         return again.history
-    how = dict(LEARNERS[learns])
-    other = Kept("other", platform, "b", wall_ahead_s=how.get("wall_ahead_s", 0.0))
-    other.learn(how.get("knew", 0))
-    if how.get("answered"):
-        other.learn(1)
+    options = dict(READERS[does])
+    other = StoringInstance(
+        "other", platform, "b", wall_ahead_s=options.get("wall_ahead_s", 0.0)
+    )
+    other.record_crashes(options.get("knew", 0))
+    if options.get("cleared"):
+        other.record_crashes(1)
         other.history.clear(FINGERPRINT, now=trio.current_time())
-    for _ in range(how.get("reads", 1)):
+    for _ in range(options.get("reads", 1)):
         await first.watch._renew()
         await other.watch._poll_instances()
     return other.history
 
 
-@when("an instance knows of {ends:d} ends under a request, and another {learns}")
-def learns_ends(context, ends, learns):
-    context.history = trio.run(learn_from_rows, ends, learns)
+@when("an instance knows {crashes:d} crashes of a request, and another {does}")
+def share_by_rows(context, crashes, does):
+    context.history = trio.run(read_rows, crashes, does)
 
 
-@then("the other knows of {known:d}")
-def knows_ends(context, known):
+@then("the other knows {known:d} crashes of it")
+def knows_crashes(context, known):
     assert len(context.history.crashed_upstreams_of(FINGERPRINT)) == known
 
 
-@when("of two requests one met the ends {one}, the other {other}")
+@when("one request met the crashes {one}, and another {other}")
 def two_requests(context, one, other):
     context.history = history = CrashHistory()
     met = {OTHER: one.split(), FINGERPRINT: other.split()}
@@ -374,21 +386,23 @@
         for fingerprint, names in met.items():
             for weak in (False, True):
                 if name + "~" * weak in names:
-                    end = Crash(UpstreamId(name), float(at), number=1, weak=weak)
-                    history.record_crash(fingerprint, end)
-    # Word of the same ends comes late from others, and changes nothing.
+                    crash = Crash(UpstreamId(name), float(at), number=1, weak=weak)
+                    history.record_crash(fingerprint, crash)
+    # Late reports of the same crashes by other instances change nothing.
     for at, name in enumerate("abcdef"):
         if {name, name + "~"} & set(met[FINGERPRINT]):
-            tell(history, name, 9.0, float(at))
+            report(history, name, 9.0, float(at))
 
 
-@then("{held:d} ends are held against the other; as an item it may run after {s:d} s")
-def ends_of_other(context, held, s):
+@then(
+    "{count:d} crashes count against the other, which may run as an item after {s:d} s"
+)
+def crashes_of_other(context, count, s):
     history = context.history
-    last = max(end.at for end in history.crashes_of(FINGERPRINT))
+    last = max(crash.at for crash in history.crashes_of(FINGERPRINT))
     verdict = history.verdict(
         FINGERPRINT, now=last, periods_s=ITEM_QUARANTINE_PERIODS_S
     )
-    assert verdict.crashes == held, verdict
+    assert verdict.crashes == count, verdict
     assert abs(verdict.retry_after_s - s) < 1e-6, verdict
     assert (FINGERPRINT in history.quarantined(now=last)) == (s > 0)
--- a/tests/features/steps/quarantine_steps.py
+++ b/tests/features/steps/quarantine_steps.py
@@ -1,4 +1,4 @@
-"""Steps for requests that end the upstreams that run them."""
+"""Steps for requests that crash the upstreams that process them."""
 
 import contextlib
 import json
@@ -18,26 +18,27 @@
 ROUTES = {"stream": STREAM, "resumable": RESUMABLE, "plain": PLAIN, "once": ONCE}
 DEADLY = "a deadly prompt"
 DEADLY_KNOBS = {"deadly": "deadly"}
-PAUSE_S = 0.25
+INTERVAL_S = 0.25
 NETWORK = (httpcore.NetworkError, httpcore.ProtocolError)
 LAST = 3
-TOLD_WITHIN_S = 0.1
-"""From an upstream's end to the moment at which all instances know it."""
+REPORTED_WITHIN_S = 0.1
+"""Time after a crash by which all instances know it."""
 
 
-class Plays:
-    """What was sent and answered.
+class Clients:
+    """Sends deadly and other requests, and keeps the results.
 
     Attributes:
-      deadly: Answers to the deadly request, and how long each took; None for none.
-      proper: When each proper request was sent, and whether it was answered whole.
+      deadly: Name, response and duration of each deadly request; the response is None
+        if there was none.
+      others: For each other request, when it was sent and whether it succeeded.
     """
 
     def __init__(self, fleet):
         self.fleet = fleet
         self.sent = 0
         self.deadly = []
-        self.proper = []
+        self.others = []
 
     async def send_deadly(self, route, *, gateway):
         self.sent += 1
@@ -48,29 +49,29 @@
             answer = await self.fleet.ask(gateway, ROUTES[route], name, body=DEADLY)
         self.deadly.append((name, answer, time.monotonic() - began))
 
-    async def send_proper(self, number):
+    async def send_other(self, number):
         sent_at = time.monotonic()
         gateway = self.fleet.names[number % len(self.fleet.names)]
-        whole = False
+        succeeded = False
         with contextlib.suppress(*NETWORK):
             answer = await self.fleet.ask(gateway, PLAIN, f"proper-{number}")
-            whole = answer.status == 200 and answer.whole
-        self.proper.append((sent_at, whole))
+            succeeded = answer.status == 200 and answer.whole
+        self.others.append((sent_at, succeeded))
 
-    async def play(self, route, *, times, at_once):
-        knobs = await self.revived_with()
+    async def send_all(self, route, *, times, at_once):
+        knobs = await self.restart_knobs()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.revive, knobs)
+            nursery.start_soon(self.restart_runners, knobs)
             async with trio.open_nursery() as clients:
                 for number in range(times):
                     for k in range(at_once):
                         names = self.fleet.names
                         gateway = names[(number + k) % len(names)]
                         clients.start_soon(self._send_deadly, route, gateway)
-                    clients.start_soon(self.send_proper, 2 * number)
-                    await trio.sleep(PAUSE_S / 2)
-                    clients.start_soon(self.send_proper, 2 * number + 1)
-                    await trio.sleep(PAUSE_S / 2)
+                    clients.start_soon(self.send_other, 2 * number)
+                    await trio.sleep(INTERVAL_S / 2)
+                    clients.start_soon(self.send_other, 2 * number + 1)
+                    await trio.sleep(INTERVAL_S / 2)
             while self.fleet.reviving:
                 await trio.sleep(0.05)
             nursery.cancel_scope.cancel()
@@ -78,40 +79,40 @@
     async def _send_deadly(self, route, gateway):
         await self.send_deadly(route, gateway=gateway)
 
-    async def revived_with(self):
-        """Asks while all runners live: once requests come, one may be gone."""
+    async def restart_knobs(self):
+        """Returns the knobs of restarted runners; call it while all runners are up."""
         report = await self.fleet.control(self.fleet.runners[0])
         return {**DEADLY_KNOBS, "birthless": report["knobs"]["birthless"]}
 
-    async def revive(self, knobs):
+    async def restart_runners(self, knobs):
         await self.fleet.revive_forever(after_s=1.0, **knobs)
 
 
-def plays_of(context):
-    if not hasattr(context, "plays"):
-        context.plays = Plays(context.fleet)
-    return context.plays
+def clients_of(context):
+    if not hasattr(context, "clients"):
+        context.clients = Clients(context.fleet)
+    return context.clients
 
 
 @when(
-    "a deadly {route} request comes {times:d} times in turn, "
-    "while runners are back after 1 s"
+    "a deadly {route} request is sent {times:d} times in sequence, "
+    "and runners restart after 1 s"
 )
-def in_turn(context, route, times):
-    plays = plays_of(context)
-    context.fleet.run(lambda: plays.play(route, times=times, at_once=1))
+def in_sequence(context, route, times):
+    clients = clients_of(context)
+    context.fleet.run(lambda: clients.send_all(route, times=times, at_once=1))
 
 
 @when(
-    "a deadly {route} request comes {times:d} times, {n:d} at once, "
-    "while runners are back after 1 s"
+    "a deadly {route} request is sent {times:d} times, {n:d} at once, "
+    "and runners restart after 1 s"
 )
 def at_once(context, route, times, n):
-    plays = plays_of(context)
-    context.fleet.run(lambda: plays.play(route, times=times, at_once=n))
+    clients = clients_of(context)
+    context.fleet.run(lambda: clients.send_all(route, times=times, at_once=n))
 
 
-@when("all gateways are killed and start again")
+@when("all gateways are killed and restart")
 def all_restart(context):
     fleet = context.fleet
     for name in fleet.names:
@@ -122,8 +123,8 @@
         fleet.run(fleet.ready, name)
 
 
-@given("all runners are listed anew")
-def listed_anew(context):
+@given("all runners are listed again")
+def listed_again(context):
     async def list_all():
         for name in context.fleet.runners:
             await context.fleet.list_runner(name)
@@ -131,73 +132,70 @@
     context.fleet.run(list_all)
 
 
-@when("{count:d} equal {route} requests are answered while runners are set to {knobs}")
-def answered(context, count, route, knobs):
-    plays = plays_of(context)
+@when("{count:d} equal {route} requests are sent while runners are set to {knobs}")
+def equal_requests(context, count, route, knobs):
+    clients = clients_of(context)
 
-    async def play():
+    async def send():
         for name in context.fleet.runners:
             await context.fleet.control(name, **json.loads(knobs))
         for number in range(count):
             gateway = context.fleet.names[number % len(context.fleet.names)]
-            await plays.send_deadly(route, gateway=gateway)
+            await clients.send_deadly(route, gateway=gateway)
 
-    context.fleet.run(play)
+    context.fleet.run(send)
 
 
-@when("runners are set to {knobs} again")
-def healed(context, knobs):
-    async def heal():
+@when("runners are set back to {knobs}")
+def set_back(context, knobs):
+    async def reset():
         for name in context.fleet.runners:
             await context.fleet.control(name, **json.loads(knobs))
 
-    context.fleet.run(heal)
+    context.fleet.run(reset)
 
 
-@when("a deadly {route} request comes {times:d} times in turn")
-def again(context, route, times):
-    plays = plays_of(context)
+@when("a deadly {route} request is sent {times:d} times in sequence")
+def sent_again(context, route, times):
+    clients = clients_of(context)
 
-    async def play():
+    async def send():
         for number in range(times):
             gateway = context.fleet.names[number % len(context.fleet.names)]
-            await plays.send_deadly(route, gateway=gateway)
+            await clients.send_deadly(route, gateway=gateway)
 
-    context.fleet.run(play)
+    context.fleet.run(send)
 
 
-@then("at most {most:d} runners have ended under it")
-def ended(context, most):
-    found = context.fleet.ended
-    assert 0 < len(found) <= most, found
+@then("it has crashed at most {most:d} runners")
+def crashed_at_most(context, most):
+    crashes = context.fleet.ended
+    assert 0 < len(crashes) <= most, crashes
 
 
-@then("at most {most:d} runners have ended under it, or were about to")
-def ended_or_about_to(context, most):
-    """Allows for requests that were sent before the last of these ends could be told.
-
-    One that was sent then ends its runner by 60 ms after it began to run.
-    """
-    found = context.fleet.ended
-    assert len(found) >= most, found
-    last = found[most - 1][0]
-    later = [end for end in found if end[0] > last + TOLD_WITHIN_S + DEADLY_AFTER_S]
-    assert not later, found
-    assert len(found) <= 2 * most, found
+@then("it has crashed at most {most:d} runners, apart from attempts then in flight")
+def crashed_or_in_flight(context, most):
+    """Allows for attempts that began before the last of these crashes was reported."""
+    crashes = context.fleet.ended
+    assert len(crashes) >= most, crashes
+    last = crashes[most - 1][0]
+    later = [c for c in crashes if c[0] > last + REPORTED_WITHIN_S + DEADLY_AFTER_S]
+    assert not later, crashes
+    assert len(crashes) <= 2 * most, crashes
 
 
-@then("at most {most:d} runners have ended under it, and one more {s:g} s later")
-def ended_and_one_more(context, most, s):
-    found = [at for at, _ in context.fleet.ended]
-    assert 0 < len(found) <= most + 1, found
-    assert len(found) <= most or found[most] >= found[most - 1] + s, found
+@then("it has crashed at most {most:d} runners, and one more {s:g} s later")
+def crashed_and_one_more(context, most, s):
+    times = [at for at, _ in context.fleet.ended]
+    assert 0 < len(times) <= most + 1, times
+    assert len(times) <= most or times[most] >= times[most - 1] + s, times
 
 
-@then("its last answers are all {status:d}, within {s:g} s, and it was {run}")
-def last_answers(context, status, s, run):
-    plays = plays_of(context)
+@then("its last responses are all {status:d}, within {s:g} s, and it was {run}")
+def last_responses(context, status, s, run):
+    clients = clients_of(context)
     started = {ran["id"] for ran in context.fleet.run(context.fleet.runs)}
-    for name, answer, took_s in plays.deadly[-LAST:]:
+    for name, answer, took_s in clients.deadly[-LAST:]:
         assert answer is not None and answer.status == status, (name, answer)
         assert took_s <= s, (name, took_s)
         assert (name in started) == (run == "run"), name
@@ -205,20 +203,20 @@
             assert float(answer.headers["retry-after"]) > 0, answer
 
 
-@then("no proper request sent later than {s:g} s after the third end has failed")
-def proper(context, s):
+@then("no other request sent more than {s:g} s after the third crash has failed")
+def no_other_failed(context, s):
     third = context.fleet.ended[2][0]
-    later = [whole for at, whole in plays_of(context).proper if at > third + s]
+    later = [ok for at, ok in clients_of(context).others if at > third + s]
     assert len(later) > 10 and all(later), later
 
 
 @when("a job of {count:d} items is submitted, of which one is deadly, and {s:d} s pass")
 def deadly_job(context, count, s):
-    async def play():
-        plays = plays_of(context)
-        knobs = await plays.revived_with()
+    async def send():
+        clients = clients_of(context)
+        knobs = await clients.restart_knobs()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(plays.revive, knobs)
+            nursery.start_soon(clients.restart_runners, knobs)
             items = [DEADLY, *(f"item {number}" for number in range(1, count))]
             answer = await context.fleet.submit("gateway-1", "job-1", items)
             assert answer.status == 202, answer
@@ -226,7 +224,7 @@
             nursery.cancel_scope.cancel()
         return await context.fleet.results("gateway-2", "job-1")
 
-    context.page = context.fleet.run(play)
+    context.page = context.fleet.run(send)
 
 
 @then("all other items are completed")
@@ -237,21 +235,21 @@
     assert "job-1-item-0" not in done, done
 
 
-@when("a deadly inference is asked {times:d} times in turn at all entries")
+@when("a deadly inference is sent {times:d} times in sequence, to all entries in turn")
 def deadly_inference(context, times):
     context.errors = []
 
-    async def play():
+    async def send():
         names = list(context.fleet.entries)
         for number in range(times):
             entry = names[number % len(names)]
-            context.errors.append(await ask_to_fail(context, entry))
-            await trio.sleep(PAUSE_S)
+            context.errors.append(await send_deadly_inference(context, entry))
+            await trio.sleep(INTERVAL_S)
 
-    context.fleet.run(play)
+    context.fleet.run(send)
 
 
-async def ask_to_fail(context, entry):
+async def send_deadly_inference(context, entry):
     asked = {"deployment": "menus", "prompt": DEADLY}
     try:
         await context.fleet.call(entry, "OnlineService", "Infer", **asked)
@@ -260,14 +258,14 @@
     return None
 
 
-@then("at most {most:d} engines have ended")
-def engines_ended(context, most):
+@then("at most {most:d} engines have crashed")
+def engines_crashed(context, most):
     processes = context.fleet.processes
-    ended = [name for name in engines(context) if not processes[name].running]
-    assert 0 < len(ended) <= most, ended
+    crashed = [name for name in engines(context) if not processes[name].running]
+    assert 0 < len(crashed) <= most, crashed
 
 
-@then("the last {count:d} were refused as not run, with a time to come back")
+@then("the last {count:d} were refused as not run, with a retry delay")
 def refused_at_last(context, count):
     for error in context.errors[-count:]:
         assert error is not None and error.outcome == "NOT_RUN", error
@@ -275,8 +273,8 @@
         assert "ended while they ran" in str(error), error
 
 
-@then("a proper inference is answered")
-def proper_inference(context):
+@then("another inference is answered")
+def other_inference(context):
     async def ask():
         asked = {"deployment": "menus", "prompt": "a proper one"}
         entry = next(iter(context.fleet.entries))
--- a/tests/features/steps/words_of_ends_steps.py
+++ b/tests/features/steps/words_of_ends_steps.py
@@ -1,24 +1,24 @@
-"""Steps for words of ends among many instances, each course drawn from its seed."""
+"""Steps for crash reports among many simulated instances, each drawn from a seed."""
 
 from behave import then
 
 from tests.harness import WordPlay, draw_course
 
 
-@then("in courses {first:d} to {last:d}, {ends:d} ends are held everywhere")
-def held_everywhere(context, first, last, ends):
+@then("in simulations {first:d} to {last:d}, all instances count {crashes:d} crashes")
+def all_count(context, first, last, crashes):
     row = context.active_outline
     failed = {}
     for seed in range(first, last + 1):
         course = draw_course(
             seed,
             instances=int(row["instances"]),
-            births=row["births"] == "births told",
-            ends=ends,
+            births=row["start_times"] == "start times reported",
+            ends=crashes,
         )
         play = WordPlay(course, seed=seed)
         play.play()
-        held = {instance.held() for instance in play.instances}
-        if play.most != ends or held != {ends} or play.barred:
-            failed[seed] = (play.most, held, play.barred[:3])
+        counts = {instance.held() for instance in play.instances}
+        if play.most != crashes or counts != {crashes} or play.barred:
+            failed[seed] = (play.most, counts, play.barred[:3])
     assert not failed, failed
--- a/tests/features/words_of_ends.feature
+++ b/tests/features/words_of_ends.feature
@@ -1,34 +1,25 @@
-Feature: Words of an upstream's end come late and again, and the end counts once
+Feature: A crash counts once, however late and often it is reported
 
-  # Seen of a release: items were kept from running for 600 s by five ends of one upstream
-  # within a second, and requests by one upstream named three to seventeen times; of 63
-  # instances some had stood still. Played on that release's code, with one end of one
-  # upstream and instances that stand still for 0.8 s at most, items were held back in 7
-  # of 30 courses, by up to five ends; up to 1.2 s in 24 of 30; up to 17 s in all, by up
-  # to 40 ends. Up to 0.4 s in none.
-  # Cause there: an end was told by its age alone. Words lay unread, at hearers and at
-  # tellers, and each that came 0.5 s later than all that were known counted as one more.
-  Scenario Outline: <ends> ends under an item, <births>, told among <instances> instances
-    Then in courses <first> to <last>, <ends> ends are held everywhere
+  # Guards against delayed crash reports, at stalled senders or receivers, being counted as
+  # further crashes of the same upstream.
+  Scenario Outline: <crashes> crashes under an item, <start_times>, among <instances> instances
+    Then in simulations <first> to <last>, all instances count <crashes> crashes
 
-    Examples: instances stand still for up to 17 s, owners change, rows are read late
-      | instances | births      | ends | first | last |
-      | 63        | births told | 1    | 0     | 1    |
-      | 63        | no births   | 1    | 2     | 3    |
-      | 12        | births told | 2    | 4     | 7    |
-      | 12        | no births   | 2    | 8     | 11   |
+    Examples: instances stall for up to 17 s, job owners change, rows are read late
+      | instances | start_times          | crashes | first | last |
+      | 63        | start times reported | 1       | 0     | 1    |
+      | 63        | no start times       | 1       | 2     | 3    |
+      | 12        | start times reported | 2       | 4     | 7    |
+      | 12        | no start times       | 2       | 8     | 11   |
 
-  # Found by reading, and each shown here. A row places an end where its writer heard of it,
-  # which may be after an answer that voided it: what an answer voided is asked of words, and
-  # not of rows. What was taken back is voided by time alone, so that word of it that is
-  # passed on late counts again. Two that saw one end, of whom one lists the life before,
-  # tell two births.
-  Scenario Outline: A proper request, and <what>, which is no end more
-    When of a request it is learnt, by the second: <learnt>
-    Then at <at> s it is <standing>, for <retry> s
+  # Guards against rows or late reports bringing back crashes that were voided or retracted,
+  # and against one crash being reported with two start times.
+  Scenario Outline: No further crash: <what>
+    When evidence on a request arrives, by the second: <evidence>
+    Then at <at> s the verdict is <kind>, with a retry after <retry> s
 
-    Examples: "row a 4": a row that places the end of a at 4 s
-      | what                                | learnt                                           | at | standing | retry |
-      | a row, read late, of ends before an answer | 0 end a, 1 end b, 1.5 end c, 2 answer, 6 row a 4 b 4.5 c 5.5 | 6 | free | 0 |
-      | late word of what was taken back    | 0 end a, 1 end b, 2 end c, 3 lives c 2, 5 late c 4 | 5 | free   | 0     |
-      | an end of which two births are told | 0 end a1, 0.01 late a2 0.01, 1 end b1            | 1  | free     | 0     |
+    Examples: "row a 4": a row that dates the crash of a at 4 s
+      | what                                      | evidence                                                             | at | kind | retry |
+      | a late row with crashes before a response | 0 crash a, 1 crash b, 1.5 crash c, 2 response, 6 row a 4 b 4.5 c 5.5 | 6  | free | 0     |
+      | a late report of a retracted crash        | 0 crash a, 1 crash b, 2 crash c, 3 retracted c 2, 5 reported c 4     | 5  | free | 0     |
+      | a crash reported with two start times     | 0 crash a1, 0.01 reported a2 0.01, 1 crash b1                        | 1  | free | 0     |
