--- a/src/coppercleat/quarantine/_end_keeper.py
+++ b/src/coppercleat/quarantine/_end_keeper.py
@@ -32,9 +32,9 @@
     Attributes:
       fingerprint: The request.
       crashes: Upstream and Unix time in seconds of each crash.
-      born_ms: See ``End.born_ms``.
-      numbers: See ``End.number``.
-      weak: See ``End.weak``; taken as true if absent.
+      born_ms: See ``Crash.born_ms``.
+      numbers: See ``Crash.number``.
+      weak: See ``Crash.weak``; taken as true if absent.
     """
 
     fingerprint: Fingerprint
--- a/src/coppercleat/quarantine/_ends.py
+++ b/src/coppercleat/quarantine/_ends.py
@@ -12,7 +12,6 @@
 """Observations of one upstream this close in time are the same crash: connections break
 within milliseconds, and a restart takes longer."""
 
-
 MIN_UPTIME_S = 0.1
 """No upstream starts and crashes again within this time."""
 
@@ -22,12 +21,13 @@
     """One crash of an upstream while it processed a request.
 
     Attributes:
-      at: Time of the crash, in seconds of the local clock; too late by any delay of
-        the report.
+      upstream: The upstream that crashed.
+      at: Time of the crash on the local clock, in seconds; too late by the delay of the
+        report, if it was reported.
       born_ms: See ``Upstream.born_ms``; 0 if unknown. The upstream list may lag behind
         a restart, so two incarnations may have the same value here.
-      number: Counts the crashes of this upstream under this request from 1, as far as
-        the observing instance knew them; 0 while unassigned.
+      number: Position of the crash among those of this upstream under this request,
+        from 1, as far as the observing instance knew them; 0 while unassigned.
       weak: Whether the crash is weak evidence against the request, since the upstream
         was not steady or the attempt had made progress.
       source: The proof, or the reporting instance; for the log.
