--- a/src/coppercleat/jobs/_items.py
+++ b/src/coppercleat/jobs/_items.py
@@ -294,7 +294,7 @@
                 fingerprint,
                 running.state,
                 began=running.began_at,
-                silent=silent,
+                stalled=silent,
                 progress_s=running.heard_at - running.began_at,
             )
 
--- a/src/coppercleat/online/_dispatch.py
+++ b/src/coppercleat/online/_dispatch.py
@@ -232,7 +232,7 @@
             watch.record_interruption(exchange.fingerprint, record, began=began)
         elif attempt.state is AttemptState.SENT:
             watch.record_interruption(
-                exchange.fingerprint, record, began=began, silent=True
+                exchange.fingerprint, record, began=began, stalled=True
             )
 
     def _require_retry(
--- a/src/coppercleat/quarantine/_end_watch.py
+++ b/src/coppercleat/quarantine/_end_watch.py
@@ -258,7 +258,7 @@
         incarnation: _UpstreamT,
         *,
         began: float | None = None,
-        silent: bool = False,
+        stalled: bool = False,
         progress_s: float = 0.0,
     ) -> None:
         """Records an attempt that was interrupted, and probes its upstream.
@@ -269,14 +269,14 @@
           fingerprint: The request.
           incarnation: The upstream.
           began: Trio time, in seconds, at which the attempt began; None if unknown.
-          silent: Whether the upstream fell silent, with the connection intact. Then the
+          stalled: Whether the attempt stalled with its connection intact. Then the
             request is not held before a crash is proved.
           progress_s: Seconds from the beginning of the attempt to its last progress.
         """
         now = trio.current_time()
         began = now if began is None else began
         attempt = _InterruptedAttempt(began, now, progress_s >= PROGRESS_EVIDENCE_S)
-        self._add_suspect(fingerprint, incarnation, attempt, silent=silent)
+        self._add_suspect(fingerprint, incarnation, attempt, stalled=stalled)
 
     def _add_suspect(
         self,
@@ -284,13 +284,13 @@
         incarnation: _UpstreamT,
         attempt: _InterruptedAttempt,
         *,
-        silent: bool,
+        stalled: bool,
     ) -> None:
         if incarnation.stopping:
             return
         investigation = self._investigations.get(incarnation)
         if investigation is not None and investigation.began_after_crash(attempt):
-            self._add_late_suspect(investigation, fingerprint, silent=silent)
+            self._add_late_suspect(investigation, fingerprint, stalled=stalled)
             return
         if investigation is None:
             investigation = self._investigations[incarnation] = _Investigation(
@@ -303,7 +303,7 @@
         investigation.suspects[fingerprint] = attempt
         if investigation.crashed:
             self._record_crash(investigation, fingerprint)
-        elif not silent:
+        elif not stalled:
             self.history.record_interruption(fingerprint, incarnation.id)
 
     def _add_late_suspect(
@@ -311,10 +311,10 @@
         investigation: _Investigation[_UpstreamT],
         fingerprint: Fingerprint,
         *,
-        silent: bool,
+        stalled: bool,
     ) -> None:
         """Holds a request that was interrupted after others while probing goes on."""
-        if not silent and fingerprint not in investigation.late_suspects:
+        if not stalled and fingerprint not in investigation.late_suspects:
             investigation.late_suspects.add(fingerprint)
             self.history.record_interruption(fingerprint, investigation.incarnation.id)
 
@@ -330,7 +330,7 @@
             incarnation.id, trio.current_time()
         ):
             self._add_suspect(
-                fingerprint, incarnation, _abandoned_attempt(abandoned_at), silent=True
+                fingerprint, incarnation, _abandoned_attempt(abandoned_at), stalled=True
             )
 
     def _abandoned_before(
--- a/src/coppercleat/serving/_forwarding.py
+++ b/src/coppercleat/serving/_forwarding.py
@@ -335,7 +335,7 @@
                 fingerprint,
                 state,
                 began=exchange.sent_at,
-                silent=exchange.silent,
+                stalled=exchange.silent,
                 progress_s=exchange.heard_at - exchange.sent_at,
             )
         if end is AttemptEnd.NOT_RUN:
--- a/tests/features/steps/quarantine_decision_steps.py
+++ b/tests/features/steps/quarantine_decision_steps.py
@@ -207,7 +207,7 @@
                 await trio.sleep(2.0 if "before" in fails else 0.1)
             else:
                 detector.record_interruption(
-                    FINGERPRINT, state, silent=fails == "stalls"
+                    FINGERPRINT, state, stalled=fails == "stalls"
                 )
             if does in AFTERWARDS:
                 AFTERWARDS[does](detector, state, placement)
