--- a/src/coppercleat/serving/_forwarding.py
+++ b/src/coppercleat/serving/_forwarding.py
@@ -353,7 +353,7 @@
                 fingerprint,
                 state,
                 began=exchange.attempt_started_at,
-                silent=exchange.stalled,
+                stalled=exchange.stalled,
                 progress_s=exchange.last_received_at - exchange.attempt_started_at,
             )
         if outcome is AttemptOutcome.NOT_RUN:
