--- a/src/coppercleat/gateway/_gateway.py
+++ b/src/coppercleat/gateway/_gateway.py
@@ -148,7 +148,7 @@
             clock=time.time,
             routes=lambda: self.watch.table,
             is_owner_alive=self.watch.is_owner_alive,
-            living=self.watch.living,
+            live_instances=self.watch.live_instances,
             holds_lease=self.watch.holds_lease,
             isolated=self._isolated,
             pause_s=lambda: jobs_poll_interval_s(self.settings, self.watch.instances),
@@ -161,7 +161,7 @@
             keep_s=settings.keep_s,
             clock=time.time,
             owner=self.watch.owner_name,
-            living=self.watch.living,
+            live_instances=self.watch.live_instances,
             quota_prefix_of=self._quota_of,
         )
         self.jobs = JobService(
@@ -187,8 +187,8 @@
         self.peers.on_counts_expired = self.load_prober.mark_uncertain
         self.peers.on_job_takeover = self.worker.stop_taken_job
         self.peers.on_job_handover = self.worker.receive_handover
-        self.watch.kept_ends = self.quarantine_store.export_records
-        self.watch.on_kept_ends = self.quarantine_store.import_records
+        self.watch.quarantine_records = self.quarantine_store.export_records
+        self.watch.on_quarantine_records = self.quarantine_store.import_records
         self.peers.crash_reports = self._ends
         self.peers.on_crash_update = self._hear_of_ends
         self.crash_detector.on_update = self.peers.announce_crashes
@@ -208,8 +208,8 @@
 
     def _ranked(self, fingerprint: Fingerprint) -> list[str]:
         """Returns all living instances, in an order that they agree on."""
-        living = [self.settings.instance, *self.peers.live_peers()]
-        return rendezvous_order(format_fingerprint(fingerprint), living)
+        live_instances = [self.settings.instance, *self.peers.live_peers()]
+        return rendezvous_order(format_fingerprint(fingerprint), live_instances)
 
     def _tries(self, fingerprint: Fingerprint, overdue_s: float) -> bool:
         """Returns whether a trial of a request falls to this instance.
@@ -274,7 +274,7 @@
             nursery.start_soon(self.forwarder.stall_detector.run)
             nursery.start_soon(self.load_prober.run)
             nursery.start_soon(self.crash_detector.run)
-            nursery.start_soon(self.items.end_silent)
+            nursery.start_soon(self.items.cancel_stalled)
             nursery.start_soon(self.worker.run)
             nursery.start_soon(self.sweeper.run)
 
--- a/src/coppercleat/jobs/_items.py
+++ b/src/coppercleat/jobs/_items.py
@@ -181,7 +181,7 @@
             if not isinstance(state, NoUpstreamAvailable):
                 self._patience.reset()
                 return state
-            if not state.waits or not self._patience.expired(now):
+            if not state.queued_ahead or not self._patience.expired(now):
                 return None
             ahead = 0
 
@@ -249,7 +249,7 @@
         before = len(item.events)
         with self._slot_released(running), running.scope:
             outcome = await self._attempt(running, attempt)
-        self._estimator.observe_run(
+        self._estimator.observe_attempt(
             events=len(item.events) - before,
             seconds=trio.current_time() - running.began_at,
         )
@@ -364,7 +364,7 @@
                     stalled=silent,
                 )
 
-    async def end_silent(self) -> None:
+    async def cancel_stalled(self) -> None:
         """Ends runs at upstreams that have fallen silent, until cancelled."""
         async for now in stall_check_times():
             for running in self._running:
--- a/src/coppercleat/jobs/_worker.py
+++ b/src/coppercleat/jobs/_worker.py
@@ -73,7 +73,7 @@
         clock: Callable[[], float],
         routes: Callable[[], RouteTable | None],
         is_owner_alive: Callable[..., bool],
-        living: Callable[[], list[str]],
+        live_instances: Callable[[], list[str]],
         holds_lease: Callable[[], bool],
         isolated: Callable[[], bool],
         pause_s: Callable[[], float],
@@ -91,7 +91,7 @@
           routes: Returns the current route table; None before it is loaded.
           is_owner_alive: Returns whether the owner of a job is alive, given the time
             ``since`` which its name has been known here.
-          living: Returns the owner names of all live instances.
+          live_instances: Returns the owner names of all live instances.
           holds_lease: Returns whether others still consider this instance alive.
           isolated: Returns whether this instance reaches neither the store nor any
             other instance, so that others must be assumed to take over its jobs.
@@ -105,7 +105,7 @@
         self.owner = owner
         self.clock = clock
         self.is_owner_alive = is_owner_alive
-        self.living = living
+        self.live_instances = live_instances
         self.holds_lease = holds_lease
         self.pause_s = pause_s
         self.on_taken = on_taken
@@ -228,7 +228,7 @@
                 self._orphans.pop(job, None)
             else:
                 since = self._orphans.setdefault(job, now)
-                rank = rendezvous_order(job, self.living()).index(self.owner)
+                rank = rendezvous_order(job, self.live_instances()).index(self.owner)
                 if now - since >= rank * _TAKEOVER_STAGGER_S:
                     self._active.add(job)
                     assert self._nursery is not None
@@ -298,7 +298,7 @@
             return False
         if stored.row.owner == self.owner:
             return True
-        return rendezvous_order(stored.row.job, self.living())[0] == self.owner
+        return rendezvous_order(stored.row.job, self.live_instances())[0] == self.owner
 
     async def _wait_for_handover(self, job: JobId) -> None:
         """Waits briefly for the progress that the previous owner may send."""
--- a/src/coppercleat/serving/_exchange.py
+++ b/src/coppercleat/serving/_exchange.py
@@ -6,7 +6,7 @@
 import trio
 
 from coppercleat.ids import UpstreamId
-from coppercleat.serving._admission_queue import RETRY_AFTER_S
+from coppercleat.serving._admission_queue import MIN_RETRY_AFTER_S
 from coppercleat.serving._answer_use import ResponseHead, response_head
 from coppercleat.serving._model import OnlineRequest, Reply, Route
 from coppercleat.serving._progress import AttemptOutcome, ForwardedPart, RequestProgress
@@ -60,7 +60,7 @@
     stalled: bool = False
     disconnected: bool = False
     waited_s: float = 0.0
-    retry_after_s: float = RETRY_AFTER_S
+    retry_after_s: float = MIN_RETRY_AFTER_S
 
     def allow_retry(self, upstream: UpstreamId) -> None:
         """Allows one more attempt at an upstream that did not run the request."""
--- a/src/coppercleat/serving/_forwarding.py
+++ b/src/coppercleat/serving/_forwarding.py
@@ -28,7 +28,7 @@
     Route,
     RouteKind,
 )
-from coppercleat.serving._placement import FULL_S, NoUpstreamAvailable
+from coppercleat.serving._placement import FULL_BACKOFF_S, NoUpstreamAvailable
 from coppercleat.serving._progress import AttemptOutcome, NextStep, RequestProgress
 from coppercleat.serving._silence import (
     StallDetector,
@@ -314,7 +314,7 @@
             return AttemptOutcome.NOT_RUN
         if response.refused:
             exchange.reason = f"the upstream refused with {response.status}"
-            state.full_until = trio.current_time() + FULL_S
+            state.full_until = trio.current_time() + FULL_BACKOFF_S
             exchange.allow_retry(state.id)
             return AttemptOutcome.NOT_RUN
         mode = forwarding_mode(
--- a/src/coppercleat/serving/_silent_runs.py
+++ b/src/coppercleat/serving/_silent_runs.py
@@ -79,4 +79,4 @@
 
         Stalls of one upstream that began together count once.
         """
-        return state.silences.is_new(last_received_at)
+        return state.stall_onsets.is_new(last_received_at)
--- a/src/coppercleat/serving/_survey.py
+++ b/src/coppercleat/serving/_survey.py
@@ -16,7 +16,7 @@
 from coppercleat.ids import UpstreamId
 from coppercleat.observability import part_logger
 from coppercleat.serving._placement import Placement
-from coppercleat.serving._unknown_runs import HELD_S, estimate_untracked
+from coppercleat.serving._unknown_runs import UNTRACKED_EXPIRY_S, estimate_untracked
 from coppercleat.serving._upstream_call import (
     UpstreamCaller,
     UpstreamCallError,
@@ -148,7 +148,7 @@
             if state is not None and now < state.unverified_until:
                 continue
             if state is not None and state.untracked:
-                if now >= probe_state.estimated_at + HELD_S:
+                if now >= probe_state.estimated_at + UNTRACKED_EXPIRY_S:
                     state.abandoned = 0
                     self._set_untracked(state, 0)
             elif upstream not in self._probing and now >= max(
@@ -170,7 +170,8 @@
     def _mark_unverified(self) -> None:
         """Marks upstreams that were never probed: they may run requests from before."""
         unverified_until = (
-            min(self._probe_all_until, trio.current_time() + STARTUP_PROBING_S) + HELD_S
+            min(self._probe_all_until, trio.current_time() + STARTUP_PROBING_S)
+            + UNTRACKED_EXPIRY_S
         )
         for upstream, state in self.placement.states.items():
             if upstream not in self._probe_states:
--- a/tests/features/steps/quarantine_decision_steps.py
+++ b/tests/features/steps/quarantine_decision_steps.py
@@ -256,8 +256,8 @@
         lambda s: s.results.suspect(0.0),
     ),
     "stalls": (
-        lambda s: s.silences.is_new(0.0),
-        lambda s: not s.silences.is_new(0.0),
+        lambda s: s.stall_onsets.is_new(0.0),
+        lambda s: not s.stall_onsets.is_new(0.0),
     ),
     "attempts in flight": (lambda s: setattr(s, "online", 3), lambda s: s.online == 3),
     "untracked requests": (
@@ -326,8 +326,8 @@
             clock=lambda: time.time() + wall_ahead_s,
             should_store=lambda f: True,
         )
-        self.watch.kept_ends = self.store.export_records
-        self.watch.on_kept_ends = self.store.import_records
+        self.watch.quarantine_records = self.store.export_records
+        self.watch.on_quarantine_records = self.store.import_records
 
     def record_crashes(self, count):
         now = trio.current_time()
--- a/tests/features/steps/serving_steps.py
+++ b/tests/features/steps/serving_steps.py
@@ -399,7 +399,7 @@
     length, times = context.scenario.name.split()[2].split("x")
     pace = ItemDurationEstimator()
     for _ in range(int(times)):
-        pace.observe_run(events=int(length), seconds=int(length) * 0.02)
+        pace.observe_attempt(events=int(length), seconds=int(length) * 0.02)
         pace.observe_item(events=int(length))
     found = pace.seconds_left(made)
     assert least <= found <= most, found
@@ -432,7 +432,7 @@
             keep_s=120.0,
             clock=lambda: float(ago),
             owner="me/1",
-            living=lambda: ["me/1"],
+            live_instances=lambda: ["me/1"],
             quota_prefix_of=lambda host, path: PREFIX,
         )
         with trio.move_on_after(6):
