--- a/src/coppercleat/jobs/__init__.py
+++ b/src/coppercleat/jobs/__init__.py
@@ -1,4 +1,4 @@
-"""Jobs of many items, whose results are listed in the order of completion."""
+"""Batch jobs of many items, whose results are listed in order of completion."""
 
 from coppercleat.jobs._index import JobIndex
 from coppercleat.jobs._items import ItemRunner
@@ -15,7 +15,7 @@
 )
 from coppercleat.jobs._run import JobRun
 from coppercleat.jobs._schedule import next_candidates
-from coppercleat.jobs._stalled_jobs import StalledJobs
+from coppercleat.jobs._still_jobs import StalledJobs
 from coppercleat.jobs._sweep import Sweeper
 from coppercleat.jobs._worker import JobWorker
 
--- a/src/coppercleat/jobs/_items.py
+++ b/src/coppercleat/jobs/_items.py
@@ -1,4 +1,4 @@
-"""Runs items at upstreams, and cuts them where online requests need the slots."""
+"""Runs batch items at upstreams, and preempts them for online requests."""
 
 from __future__ import annotations
 
@@ -39,41 +39,44 @@
 from coppercleat.upstreams import Attempt, AttemptState
 
 RESERVED_SLOTS = 0
-"""Slots at each upstream that batch leaves free for online requests. None: an item is
-cut within some 5 ms of an online request that needs its slot, while a reserve of one
-in eight is lost to batch all day. Rounds: docs/design/platform.md."""
+"""Slots at each upstream that batch items leave free for online requests. None are
+needed, since an online request that needs a slot preempts an item at once."""
 
 STALL_S = 1.0
-"""An item without an event for this long goes elsewhere; events come 20 ms apart, and
-the first after at most 0.1 s beside a full batch."""
+"""Time without an event after which an attempt counts as stalled; many times the usual
+interval between events and time to first event."""
 
 _RETRY_DELAY_S = 0.1
-"""An item whose run broke waits so long, so that a faulty upstream is not hammered."""
+"""Delay before an item runs again, so that a faulty upstream is not flooded."""
 
 _REFUSAL_AVOID_S = 0.3
-"""For how long an upstream that refused an item as full gets none."""
+"""How long an upstream that refused an item gets no other."""
 
 _UNPROCESSABLE = 422
 _FAILED = 500
-"""By which an upstream says that it ran the item and failed. Other errors tell of the
-upstream or of what stands before it: they end no item."""
-
+"""Status by which an upstream reports that it ran the item and failed. Other errors are
+about the upstream or a proxy before it, and do not count as failures of the item."""
 
 _log = part_logger("jobs")
 
 
 @attrs.define(eq=False)
 class RunningItem:
-    """An item in a slot of an upstream, and how to stop it.
+    """An item that occupies a slot of an upstream.
 
     Attributes:
-      stall: Cancelled when the upstream is silent.
-      began_at: When the run began, in trio's time.
-      heard_at: When the run began or its last event came, in trio's time.
-      stalled_since: When it was last heard of, if it was given up as silent; in trio's
-        time.
-      disconnected: Whether its connection broke.
-      crash_suspect: Whether upstreams have ended under it before.
+      run: The item's job.
+      item: The item.
+      request: The request that the upstream gets.
+      state: The upstream.
+      scope: Cancelled to preempt or stop the item.
+      stall: Cancelled when the attempt has stalled.
+      began_at: When the attempt began, in trio time.
+      heard_at: When the attempt began or its last event came, in trio time.
+      stalled_since: ``heard_at`` of an attempt that was abandoned as stalled, else
+        None.
+      disconnected: Whether the connection broke.
+      crash_suspect: Whether upstreams have crashed under the item before.
     """
 
     run: JobRun
@@ -90,7 +93,7 @@
 
 
 class ItemRunner:
-    """Starts and stops runs of items; whose turn it is, others decide."""
+    """Starts and stops attempts of items; it does not decide which item is next."""
 
     def __init__(
         self,
@@ -103,16 +106,16 @@
         silent_runs: SilentRuns | None = None,
         end_watch: EndWatch[UpstreamState] | None = None,
     ) -> None:
-        """Prepares the runner.
+        """Initializes the runner.
 
         Args:
-          placement: Chooses upstreams and counts what is in flight.
-          caller: Reaches upstreams.
-          instance: This instance's id, to agree with peers on who cuts.
-          on_change: Told of each run that starts (True) or ends (False).
-          on_end: Told how each run ended.
-          silent_runs: Told of runs that were left while unheard; None for its own.
-          end_watch: Knows requests that end their upstreams; None for its own.
+          placement: Chooses upstreams and counts work in flight.
+          caller: Sends requests to upstreams.
+          instance: This instance's id, by which instances agree on which preempts.
+          on_change: Called when an attempt starts (True) or ends (False).
+          on_end: Called with the outcome of each attempt.
+          silent_runs: Records abandoned attempts; None for a private one.
+          end_watch: Detects requests that crash upstreams; None for a private one.
         """
         self.placement = placement
         self.caller = caller
@@ -136,19 +139,19 @@
         due_in_s: float,
         verdict: Verdict = FREE,
     ) -> UpstreamState | None:
-        """Returns an upstream with a slot for an item, None if there is none.
+        """Returns an upstream with a free slot for an item, None if there is none.
 
-        An item that has failed gets no upstream that seems to fail: its next
-        failures may be its last. One under which upstreams have ended gets one with
-        no other such, if it can, so that an end there tells of one of them. Slots are
-        left to what waits before it elsewhere.
+        An item that has failed avoids upstreams that seem to fail, since its attempts
+        are limited. An item under which upstreams have crashed is kept apart from
+        others of that kind, so that a crash can be attributed to one of them. Slots are
+        left to more urgent work that waits at other instances.
 
         Args:
           route: The job's route.
           item: The item.
-          late: Whether it cannot be done in time.
-          due_in_s: Seconds until its job is due.
-          verdict: On the item, as far as upstreams ended under it.
+          late: Whether the item cannot finish in time.
+          due_in_s: Seconds until the job is due.
+          verdict: Verdict on the item, given the upstream crashes under it.
         """
         now = trio.current_time()
         avoid = {u for u, until in self._avoided.items() if now < until}
@@ -159,7 +162,8 @@
         shun = self.placement.to_avoid(verdict, service, now=now)
         suspect_upstreams = {r.state.id for r in self._running if r.crash_suspect}
         if verdict.standing is Standing.TRIAL:
-            # An end would count against both, and keep a proper one for longer.
+            # A crash would count against both items and prolong the quarantine of a
+            # harmless one.
             shun |= suspect_upstreams
         ahead = self.placement.order.ahead(own, service=service, now=now)
         while True:
@@ -180,20 +184,22 @@
             ahead = 0
 
     def _failing_upstreams(self, route: Route, now: float) -> list[UpstreamId]:
-        """Returns upstreams that seem to fail, unless all do: one may answer it yet."""
+        """Returns the upstreams that seem to fail; none if all of the service do."""
         failing = self.placement.suspects(now)
         others = self.placement.serves(route.targets[0].service, avoid=failing)
         return failing if others else []
 
     def seconds_left(self, item: ItemProgress) -> float:
-        """Returns how long an item takes from now, if it starts at once."""
+        """Returns the estimated seconds that an item needs if it starts now."""
         return self._estimator.seconds_left(len(item.events))
 
     def preempt_late(self, wall: float) -> None:
-        """Cuts one item that is late anyway, for one that can be done in time.
+        """Preempts one late item, to free a slot for an item that can be in time.
+
+        Does nothing while the preemption of another late item is in progress.
 
         Args:
-          wall: Unix time in seconds.
+          wall: Current Unix time, in seconds.
         """
         late = [
             running
@@ -204,13 +210,13 @@
             min(late, key=lambda running: len(running.item.events)).scope.cancel()
 
     def stop_job(self, run: JobRun) -> None:
-        """Stops all items of a job."""
+        """Cancels all running items of a job."""
         for running in self._running:
             if running.run is run:
                 running.scope.cancel()
 
     def stop_all(self) -> None:
-        """Stops all items."""
+        """Cancels all running items."""
         for running in self._running:
             running.scope.cancel()
 
@@ -221,7 +227,17 @@
         state: UpstreamState,
         verdict: Verdict = FREE,
     ) -> RunningItem:
-        """Counts a run before anything else can be placed."""
+        """Occupies a slot for an item, before other work can be placed there.
+
+        Args:
+          run: The item's job.
+          item: The item.
+          state: The upstream.
+          verdict: Verdict on the item, given the upstream crashes under it.
+
+        Returns:
+          The running item, to be passed to ``run``.
+        """
         request = run.request_of(item)
         if verdict.standing is Standing.TRIAL:
             self.end_watch.begin_trial(request)
@@ -235,7 +251,7 @@
         return running
 
     async def run(self, running: RunningItem, route: Route) -> None:
-        """Runs an item once, in the slot that was claimed for it."""
+        """Makes one attempt of an item in the slot that was claimed for it."""
         run, item, state = running.run, running.item, running.state
         attempt = Attempt()
         outcome = ItemAttemptOutcome.YIELDED
@@ -258,17 +274,17 @@
             state.succeeded(trio.current_time())
         elif outcome is ItemAttemptOutcome.NOT_RUN:
             self._avoided[state.id] = trio.current_time() + _REFUSAL_AVOID_S
-        pause = _RETRY_DELAY_S if outcome is not ItemAttemptOutcome.YIELDED else 0.0
-        not_before = trio.current_time() + pause
+        delay_s = _RETRY_DELAY_S if outcome is not ItemAttemptOutcome.YIELDED else 0.0
+        not_before = trio.current_time() + delay_s
         run.stop(item, outcome, max_attempts=route.max_attempts, not_before=not_before)
         self.on_end(outcome.value)
-        broke = outcome is ItemAttemptOutcome.BROKEN
+        broken = outcome is ItemAttemptOutcome.BROKEN
         log = _log.info if outcome is not ItemAttemptOutcome.YIELDED else _log.debug
         log(
             "Item run ended.",
             job=run.stored.row.job,
             item=item.spec.id,
-            fingerprint=shown(running.request.fingerprint) if broke else None,
+            fingerprint=shown(running.request.fingerprint) if broken else None,
             upstream=state.id,
             ended=outcome.value,
             events=len(item.events),
@@ -278,7 +294,7 @@
     def _record_crash_evidence(
         self, running: RunningItem, attempt: Attempt, outcome: ItemAttemptOutcome
     ) -> None:
-        """Notes whether the upstream may have ended under the item."""
+        """Tells the crash detector whether the upstream may have crashed."""
         silent = running.stalled_since is not None
         if outcome in (
             ItemAttemptOutcome.COMPLETE,
@@ -329,7 +345,7 @@
             except UpstreamBrokeError as error:
                 running.disconnected = error.disconnected
                 _log.info(
-                    "Item broke off.",
+                    "Item attempt interrupted.",
                     item=item.spec.id,
                     upstream=state.id,
                     reason=str(error),
@@ -341,13 +357,13 @@
     def _abandonment_recorded(
         self, running: RunningItem, attempt: Attempt
     ) -> Iterator[None]:
-        """Notes a run that was left before its upstream had ended it."""
+        """Records an attempt that was cancelled while the upstream may still run it."""
         try:
             yield
         finally:
-            cut = running.scope.cancel_called
+            cancelled = running.scope.cancel_called
             silent = running.stall.cancelled_caught
-            if attempt.state is AttemptState.SENT and (silent or cut):
+            if attempt.state is AttemptState.SENT and (silent or cancelled):
                 running.stalled_since = running.heard_at if silent else None
                 self.silent_runs.left(
                     running.state,
@@ -357,19 +373,19 @@
                 )
 
     async def end_silent(self) -> None:
-        """Ends runs at upstreams that have fallen silent, until cancelled."""
+        """Cancels stalled attempts, until cancelled itself."""
         async for now in looks_for_silence():
             for running in self._running:
                 if running.heard_at and now - running.heard_at > STALL_S:
                     running.stall.cancel()
 
-    # Making room.
+    # Preemption.
 
     def preempt(self) -> None:
-        """Cuts items where online requests need their slots.
+        """Preempts items where online requests need their slots.
 
-        The instance with the most items at an overfull upstream cuts one; what it
-        has made is kept and goes on elsewhere.
+        At an overcommitted upstream the instance with the most items preempts its own;
+        their progress is kept, and they resume at any upstream.
         """
         for state in {running.state.id: running.state for running in self._running}:
             self._preempt_at(self.placement.states.get(state))
@@ -382,24 +398,26 @@
             return
         if not self.placement.cuts_next(state, self.instance):
             return
-        here = [
+        preemptible = [
             running
             for running in self._running
             if running.state is state and not running.scope.cancel_called
         ]
-        stopping = state.batch - len(here)
-        here.sort(key=lambda running: (running.run.due_at, -len(running.item.events)))
-        for running in here[::-1][: max(0, excess - stopping)]:
+        already_stopping = state.batch - len(preemptible)
+        preemptible.sort(
+            key=lambda running: (running.run.due_at, -len(running.item.events))
+        )
+        for running in preemptible[::-1][: max(0, excess - already_stopping)]:
             running.scope.cancel()
 
 
 async def _receive_events(
     running: RunningItem, answer: UpstreamAnswer
 ) -> ItemAttemptOutcome:
-    """Takes an item's events and returns how the run ended.
+    """Reads the response to an item, and returns the outcome of the attempt.
 
     Raises:
-      UpstreamBrokeError: The run is not complete, or not one of this item.
+      UpstreamBrokeError: The response is incomplete, or invalid for this item.
     """
     item = running.item
     if answer.other_instance:
@@ -412,9 +430,9 @@
     if answer.status == _FAILED:
         return ItemAttemptOutcome.FAILED
     if answer.status != 200:
-        raise UpstreamBrokeError(f"the upstream answered {answer.status}")
+        raise UpstreamBrokeError(f"unexpected status {answer.status}")
     if not is_event_stream(answer):
-        raise UpstreamBrokeError("no stream of events")
+        raise UpstreamBrokeError("the response is no event stream")
     media_type = head_of(answer).media_type
     splitter = EventSplitter()
     sequence = EventSequence(item.last_event, numbered=True)
@@ -427,14 +445,14 @@
                 item.media_type = media_type
                 running.heard_at = trio.current_time()
         if not in_order:
-            raise UpstreamBrokeError("an event is out of order")
+            raise UpstreamBrokeError("event numbers are not consecutive")
     if incomplete := why_incomplete(
         splitter, sequence, framed=answer.framed, may_move=True
     ):
         raise UpstreamBrokeError(incomplete)
-    # Any empty answer would else pass for a run that went on after the last event.
+    # Without this check, any empty response would complete a resumed item.
     if not sequence.length and media_type != item.media_type:
-        raise UpstreamBrokeError("what was to go on with a stream is of another kind")
+        raise UpstreamBrokeError("the resumed stream has another media type")
     return ItemAttemptOutcome.COMPLETE
 
 
--- a/src/coppercleat/jobs/_records.py
+++ b/src/coppercleat/jobs/_records.py
@@ -1,15 +1,16 @@
-"""Rows that a job consists of, and their keys.
-
-All rows of a job lie in the part named by the job's host, so that accepting a job
-and committing results are transactions of one part.
-
-* ``job/JOB``: what was asked, who runs it, and which items are listed, in order.
-* ``input/JOB/N``: the items, in slices; or one object, for a large job.
-* ``result/JOB/POSITION``: one listed result; ``.../NN`` goes on with a long one.
-* ``result/JOB/~``: which items were not listed when the job was ended. It comes after
-  all results, so that a read of the last of them shows it, and is written with the end.
-* ``partial/JOB/ITEM``: events that a running item has made so far.
-* ``quota/PREFIX``: tokens ever accepted on a route, so that racing acceptances meet.
+"""Stored rows of a job, and their keys.
+
+All rows of a job are in the storage partition named by the job's host, so that one
+transaction can accept a job or commit results.
+
+* ``job/JOB``: the job, its owner, and the items whose results are listed, in order.
+* ``input/JOB/N``: the submitted items in slices; a large job's input is an object.
+* ``result/JOB/POSITION``: one listed result; ``result/JOB/POSITION/NN`` continues it.
+* ``result/JOB/~``: the items that were not listed when the job was cancelled. It sorts
+  after all results, so that a scan of the last of them includes it.
+* ``partial/JOB/ITEM``: checkpoint of a running item.
+* ``quota/PREFIX``: total tokens accepted on a route; every acceptance with a limit
+  changes it, so that concurrent ones conflict.
 """
 
 from __future__ import annotations
@@ -22,19 +23,21 @@
 from coppercleat.serving import Header
 
 JOB_SPACE = "job"
+"""First component of the keys of jobs, by which the change feed is read."""
+
 NO_OWNER = ""
-"""The owner of a job that was given up or never taken."""
+"""Owner of a job that was released or never had an owner."""
 
 SLICE_BYTES = 45_000
-"""A row's value holds 65,536 bytes in base64, which is 49,152 raw."""
+"""Maximum bytes per row; the storage limit is 65,536 bytes in base64, or 49,152 raw."""
 
 MAX_INPUT_SLICES = 14
-"""Slices of input in the accepting transaction, which holds 1 MB in base64;
-a larger job's input becomes an object."""
+"""Maximum slices of input in the accepting transaction, whose limit is 1 MB in base64;
+larger input is stored as an object."""
 
 
 class ItemState(enum.Enum):
-    """How a listed item ended."""
+    """Final state of an item."""
 
     COMPLETED = "completed"
     FAILED = "failed"
@@ -45,9 +48,11 @@
     """One item as submitted.
 
     Attributes:
-      target: Path at the upstream.
-      headers: Headers to send with it.
-      tokens: Prompt and output together, at most.
+      id: Id that the client gave the item.
+      target: Request target at the upstream.
+      headers: Request headers.
+      body: Request body.
+      tokens: Upper bound on prompt and output tokens together.
     """
 
     id: str
@@ -58,16 +63,21 @@
 
 
 class JobRow(msgspec.Struct, frozen=True, kw_only=True):
-    """A job as the platform keeps it; times are Unix seconds.
+    """A job's row. Times are Unix seconds.
 
     Attributes:
-      path: Path under which it was submitted, which decides its route.
-      tokens: Tokens of each item.
-      owner: The start of an instance that runs it.
-      listed: Index of the item at each position.
-      ended: Whether its client has ended it.
-      slices: Rows of input; 0 if the input is an object.
-      input_object: Name of the object.
+      job: Id of the job.
+      host: Host that it was submitted to, which names its storage partition.
+      path: Path that it was submitted to; with the host it determines the route.
+      tokens: Tokens of each item, by index.
+      accepted_at: When the job was accepted.
+      due_at: When all items should be finished.
+      expires_at: When items that are not finished fail.
+      owner: Owner name of the instance that runs the job.
+      listed: Item index at each position of the list of results.
+      ended: Whether the client has cancelled the job.
+      slices: Number of input rows; 0 if the input is an object.
+      input_object: Name of the input object; empty if the input is in rows.
     """
 
     job: JobId
@@ -85,17 +95,17 @@
 
     @property
     def total(self) -> int:
-        """How many items it has."""
+        """Number of items."""
         return len(self.tokens)
 
     @property
     def open(self) -> bool:
-        """Whether any item is still to be run."""
+        """Whether the job is not cancelled and some item is not listed."""
         return not self.ended and len(self.listed) < self.total
 
     @property
     def waiting_tokens(self) -> int:
-        """Tokens of items that are not listed, none once it has ended."""
+        """Tokens of the items that are not listed; 0 once the job is cancelled."""
         if self.ended:
             return 0
         return sum(self.tokens) - sum(self.tokens[i] for i in self.listed)
@@ -105,7 +115,10 @@
     """A listed result, or its first slice.
 
     Attributes:
-      more: Rows that go on with the text.
+      item: Id of the item.
+      state: Final state of the item.
+      text: Event data, one event per line; empty unless the item is completed.
+      more: Number of further rows that continue the text.
     """
 
     item: str
@@ -114,24 +127,24 @@
     more: int = 0
 
 
-class EndRow(msgspec.Struct, frozen=True, kw_only=True):
-    """What was left of a job when its client ended it.
+class CancellationRow(msgspec.Struct, frozen=True, kw_only=True):
+    """Items that were not listed when their job was cancelled.
 
     Attributes:
-      unlisted: Index of each item that was not listed, in the order in which they are
-        shown as cancelled behind the results.
+      unlisted: Item indexes, in the order in which they appear as cancelled after the
+        listed results.
     """
 
     unlisted: tuple[int, ...]
 
 
 class CheckpointRow(msgspec.Struct, frozen=True, kw_only=True):
-    """What a running item has made so far.
+    """Checkpoint of a running item.
 
     Attributes:
       last_event: Number of the last event.
       events: Data of each event.
-      failures: Runs that the upstream answered with a failure.
+      failures: Attempts that the upstream answered with a failure.
     """
 
     last_event: int
@@ -140,7 +153,7 @@
 
 
 class QuotaRow(msgspec.Struct, frozen=True, kw_only=True):
-    """Tokens ever accepted on a route, less those of jobs swept away."""
+    """Total tokens accepted on a route, without those of deleted jobs."""
 
     accepted_tokens: int
 
@@ -162,17 +175,17 @@
 
 
 def results_start_key(job: JobId, position: int) -> str:
-    """Returns a key past all results before a position."""
+    """Returns the key after which the rows of a position start; empty for the first."""
     return f"result/{job}/{position - 1:06d}~" if position else ""
 
 
-def end_key(job: JobId) -> str:
-    """Returns the key of what was left at a job's end, past all its results."""
+def cancellation_key(job: JobId) -> str:
+    """Returns the key of the row written when a job is cancelled."""
     return f"result/{job}/~"
 
 
 def checkpoint_key(job: JobId, index: int) -> str:
-    """Returns the key of a running item's events."""
+    """Returns the key of a running item's checkpoint."""
     return f"partial/{job}/{index:04d}"
 
 
--- a/src/coppercleat/jobs/_repository.py
+++ b/src/coppercleat/jobs/_repository.py
@@ -1,4 +1,4 @@
-"""Transactions by which jobs are accepted, taken, committed, ended and read."""
+"""Reads and transactions on stored jobs."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
     MAX_INPUT_SLICES,
     NO_OWNER,
     SLICE_BYTES,
+    CancellationRow,
     CheckpointRow,
-    EndRow,
     ItemSpec,
     ItemState,
     JobRow,
     QuotaRow,
     ResultRow,
+    cancellation_key,
     checkpoint_key,
-    end_key,
     input_key,
     job_key,
     quota_key,
@@ -43,13 +43,13 @@
 )
 
 MAX_READ_BYTES = 700_000
-"""Text of results in one answer; a caller is promised at most 1 MB."""
+"""Bytes of result text in one page; responses are limited to 1 MB."""
 
 _READ_ROWS = 60
 _MAX_ACCEPT_ATTEMPTS = 5
-_MAX_END_ATTEMPTS = 8
+_MAX_CANCEL_ATTEMPTS = 8
 _MAX_CHECKPOINT_BYTES = 400_000
-"""Events kept in one transaction, which holds 1 MB in base64."""
+"""Bytes of checkpoints in one transaction, whose limit is 1 MB in base64."""
 
 _MAX_COMMIT_BYTES = 500_000
 
@@ -57,7 +57,7 @@
 
 
 class Submission(msgspec.Struct, frozen=True, kw_only=True):
-    """A job as its client sends it."""
+    """A job as submitted by its client."""
 
     job: JobId
     host: str
@@ -66,24 +66,31 @@
 
 
 class StoredJob(msgspec.Struct, frozen=True):
-    """A job's row and its version."""
+    """A job's row and the storage version of that row."""
 
     row: JobRow
     version: int
 
 
 class OverQuota(msgspec.Struct, frozen=True):
-    """Sentinel: the job does not fit and nothing of it runs.
+    """Sentinel: the job exceeds the quota of its route and was not accepted.
 
     Attributes:
-      waiting: Tokens that wait already.
+      waiting: Tokens of the route's jobs that are not finished.
     """
 
     waiting: int
 
 
 class FinishedItem(msgspec.Struct, frozen=True, kw_only=True):
-    """An item that is to be listed."""
+    """An item whose result is to be committed.
+
+    Attributes:
+      index: Position of the item in the submission.
+      item: Id of the item.
+      state: Final state.
+      text: Event data, one event per line; empty unless the item is completed.
+    """
 
     index: int
     item: str
@@ -92,7 +99,13 @@
 
 
 class ResultsPage(msgspec.Struct, frozen=True, kw_only=True):
-    """Results of a job from a position on."""
+    """A page of a job's results.
+
+    Attributes:
+      total: Number of the job's items.
+      next: Position at which the next page starts.
+      results: The results, in order of position.
+    """
 
     total: int
     next: int
@@ -100,22 +113,22 @@
 
 
 class Superseded(msgspec.Struct, frozen=True):
-    """Sentinel: the job was changed by another; ``stored`` is what it is now."""
+    """Sentinel: the job was changed concurrently; ``stored`` is its current state."""
 
     stored: StoredJob | None
 
 
 class JobRepository:
-    """Reads and writes jobs; every change is under a condition."""
+    """Reads and writes jobs; every write is conditional on the row's version."""
 
     def __init__(
         self, platform: Platform, *, clock: Callable[[], float], rng: random.Random
     ) -> None:
-        """Prepares the repository.
+        """Initializes the repository.
 
         Args:
-          platform: Where rows and objects lie.
-          clock: Unix time in seconds.
+          platform: Stores rows and objects.
+          clock: Returns the Unix time in seconds.
           rng: Source of randomness for object names.
         """
         self.platform = platform
@@ -133,19 +146,24 @@
         finished_tokens: Callable[[str, str], int],
         tolerance: float = 0.0,
     ) -> StoredJob | OverQuota:
-        """Accepts a job once; a repeated submission finds the first.
+        """Accepts a job; idempotent by job id.
 
         Args:
           submission: The job.
-          route: Its route.
-          owner: Who will run it.
-          finished_tokens: Tokens of listed or ended items of all jobs of a host
-            and route prefix, as far as is known here; too few is safe.
-          tolerance: Share by which the limit may be exceeded.
+          route: The job's route.
+          owner: The new job's owner.
+          finished_tokens: Returns the tokens of listed or cancelled items of all jobs
+            of a host and route prefix, as far as known here. A value that is too low
+            is safe.
+          tolerance: Fraction by which the quota may be exceeded.
+
+        Returns:
+          The new job, or the one accepted before under the same id; ``OverQuota`` if
+          the route's quota leaves no room.
 
         Raises:
-          PlatformUnavailableError: Nothing was accepted.
-          AnswerLostError: It may have been.
+          PlatformUnavailableError: The job was not accepted.
+          AnswerLostError: The job may have been accepted.
         """
         key = job_key(submission.job)
         quota = quota_key(route.prefix)
@@ -184,7 +202,11 @@
     async def _store_input(
         self, submission: Submission, route: Route, *, owner: str, now: float
     ) -> tuple[list[Put], JobRow]:
-        """Returns rows of input and the job's row; large input becomes an object."""
+        """Stores large input as an object.
+
+        Returns:
+          The input rows to write with the job, none for an object; and the job's row.
+        """
         packed = msgspec.msgpack.encode(submission.items)
         slices = [
             packed[i : i + SLICE_BYTES] for i in range(0, len(packed), SLICE_BYTES)
@@ -195,7 +217,7 @@
             try:
                 await self.platform.put_object(name, packed)
             except AnswerLostError as error:
-                # The object is under a name of its own: nothing refers to it yet.
+                # No row refers to the object yet, so that the job is not accepted.
                 raise PlatformUnavailableError(error.message) from error
             slices = []
         puts = [Put(input_key(submission.job, n), s) for n, s in enumerate(slices)]
@@ -214,24 +236,32 @@
         return puts, row
 
     async def _delete_input_object(self, row: JobRow) -> None:
-        """Removes the object of a submission that was not accepted as it is."""
+        """Deletes the input object of a submission whose row was not written."""
         if not row.input_object:
             return
         try:
             await self.platform.delete_object(row.input_object)
         except CoppercleatError as error:
-            _log.info("An object stays.", object=row.input_object, kind=error.kind)
+            _log.info(
+                "Input object could not be deleted.",
+                object=row.input_object,
+                kind=error.kind,
+            )
 
     # Reading.
 
     async def find(self, host: str, job: JobId) -> StoredJob | None:
-        """Returns a job, None if there is none."""
+        """Returns a job, None if it does not exist."""
         rows = await self.platform.read([job_key(job)], part=host)
         row = rows.get(job_key(job))
         return _stored_job(row) if row else None
 
     async def items(self, row: JobRow) -> list[ItemSpec]:
-        """Returns a job's items."""
+        """Returns a job's items.
+
+        Raises:
+          PlatformUnavailableError: Input is missing or could not be read.
+        """
         if row.input_object:
             packed = await self.platform.get_object(row.input_object)
             if packed is None:
@@ -244,7 +274,7 @@
         return msgspec.msgpack.decode(packed, type=list[ItemSpec])
 
     async def checkpoints(self, row: JobRow) -> dict[int, CheckpointRow]:
-        """Returns what running items had made when it was last kept."""
+        """Returns the checkpoints of a job's items, by item index."""
         prefix = f"partial/{row.job}/"
         found = await self.platform.scan(prefix, part=row.host)
         return {
@@ -257,10 +287,16 @@
     async def results(
         self, host: str, job: JobId, total: int, *, after: int
     ) -> ResultsPage:
-        """Returns results from a position on, as many as one answer may hold.
+        """Returns a page of results.
+
+        The unlisted items of a cancelled job follow its results as cancelled, so that a
+        reader reaches the last position in any case.
 
-        Behind the results of a job that was ended come its other items, as cancelled:
-        whoever reads it, also without an answer to the end, comes to the last position.
+        Args:
+          host: The job's host.
+          job: Id of the job.
+          total: Number of the job's items.
+          after: Position of the first result.
         """
         found = await self.platform.scan(
             f"result/{job}/",
@@ -272,7 +308,7 @@
         size = 0
         rows = iter(found)
         for key, row in rows:
-            if key == end_key(job):
+            if key == cancellation_key(job):
                 results += await self._cancelled(host, job, row, after + len(results))
                 break
             result = msgspec.msgpack.decode(row.value, type=ResultRow)
@@ -289,13 +325,13 @@
         return _page(total, after, results)
 
     async def _cancelled(
-        self, host: str, job: JobId, end: Row, position: int
+        self, host: str, job: JobId, cancellation: Row, position: int
     ) -> list[ResultRow]:
-        """Returns the items that were left at a job's end, from a position on."""
+        """Returns the unlisted items of a cancelled job, from a position on."""
         stored = await self.find(host, job)
         if stored is None:
             return []
-        unlisted = decode_row(end, EndRow).unlisted
+        unlisted = decode_row(cancellation, CancellationRow).unlisted
         specs = await self.items(stored.row)
         left = unlisted[position - len(stored.row.listed) :]
         return [
@@ -303,10 +339,10 @@
             for index in left
         ]
 
-    # Changes by the owner.
+    # Changes.
 
     async def take(self, stored: StoredJob, *, owner: str) -> StoredJob | Superseded:
-        """Makes another the owner of a job, or nobody."""
+        """Changes the owner of a job; ``NO_OWNER`` releases it."""
         return await self._update(
             stored, msgspec.structs.replace(stored.row, owner=owner)
         )
@@ -319,13 +355,13 @@
         *,
         owner: str | None = None,
     ) -> StoredJob | Superseded:
-        """Lists finished items and keeps what running ones have made.
+        """Lists finished items and stores checkpoints in one transaction.
 
         Args:
-          stored: The job as it was last seen.
-          finished: Items to list next, in order.
-          checkpoints: By item index.
-          owner: The new owner; None for the same.
+          stored: The job as last read or written.
+          finished: Items to append to the list of results, in order.
+          checkpoints: Checkpoints by item index.
+          owner: The new owner; None to keep the current one.
         """
         row = stored.row
         listed = (*row.listed, *(item.index for item in finished))
@@ -341,26 +377,34 @@
         return await self._update(stored, changed, puts)
 
     async def end(self, host: str, job: JobId) -> bool:
-        """Ends a job for its client; returns whether there is one.
+        """Cancels a job for its client; returns whether the job exists.
+
+        A row written in the same transaction records the unlisted items, which readers
+        see as cancelled from then on.
 
-        What is not listed is listed as cancelled from then on, by one more row in the
-        same transaction.
+        Raises:
+          PlatformUnavailableError: It is unknown whether the job was cancelled.
         """
-        for _ in range(_MAX_END_ATTEMPTS):
+        for _ in range(_MAX_CANCEL_ATTEMPTS):
             stored = await self.find(host, job)
             if stored is None:
                 return False
             if stored.row.ended:
                 return True
-            ended = msgspec.structs.replace(stored.row, ended=True, owner=NO_OWNER)
-            left = [Put(end_key(job), msgspec.json.encode(_end_row(stored.row)))]
+            cancelled = msgspec.structs.replace(stored.row, ended=True, owner=NO_OWNER)
+            puts = [
+                Put(
+                    cancellation_key(job),
+                    msgspec.json.encode(_cancellation_row(stored.row)),
+                )
+            ]
             try:
-                if isinstance(await self._update(stored, ended, left), StoredJob):
+                if isinstance(await self._update(stored, cancelled, puts), StoredJob):
                     return True
             except AnswerLostError:
-                # The job as it is now tells whether it has ended.
+                # The next read shows whether the transaction took effect.
                 continue
-        raise PlatformUnavailableError(f"The job {job} changes too often")
+        raise PlatformUnavailableError(f"Too many concurrent changes of job {job}")
 
     async def _update(
         self, stored: StoredJob, row: JobRow, puts: Iterable[Put] = ()
@@ -391,25 +435,27 @@
 def limit_checkpoints(
     checkpoints: dict[int, CheckpointRow],
 ) -> dict[int, CheckpointRow]:
-    """Leaves out what does not fit into a row or into one transaction."""
-    kept: dict[int, CheckpointRow] = {}
+    """Drops checkpoints that do not fit into a row or into one transaction."""
+    fitting: dict[int, CheckpointRow] = {}
     total = 0
     for index, checkpoint in checkpoints.items():
         size = sum(len(event) + 8 for event in checkpoint.events)
         if size > SLICE_BYTES or total + size > _MAX_CHECKPOINT_BYTES:
             continue
-        kept[index] = checkpoint
+        fitting[index] = checkpoint
         total += size
-    return kept
+    return fitting
 
 
 def _page(total: int, after: int, results: list[ResultRow]) -> ResultsPage:
     return ResultsPage(total=total, next=after + len(results), results=results)
 
 
-def _end_row(row: JobRow) -> EndRow:
+def _cancellation_row(row: JobRow) -> CancellationRow:
     listed = set(row.listed)
-    return EndRow(unlisted=tuple(i for i in range(row.total) if i not in listed))
+    return CancellationRow(
+        unlisted=tuple(i for i in range(row.total) if i not in listed)
+    )
 
 
 def _stored_job(row: Row) -> StoredJob:
@@ -417,7 +463,7 @@
 
 
 def _quota(row: Row | None) -> tuple[int, int]:
-    """Returns tokens ever accepted, and the version of the quota."""
+    """Returns the total tokens accepted, and the version of the quota's row."""
     if row is None:
         return 0, ABSENT
     return decode_row(row, QuotaRow).accepted_tokens, row.version
--- a/src/coppercleat/jobs/_sweep.py
+++ b/src/coppercleat/jobs/_sweep.py
@@ -1,4 +1,4 @@
-"""Removes jobs that have ended and whose results need not be kept any longer."""
+"""Deletes finished and cancelled jobs after their retention period."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 
 SWEEP_INTERVAL_S = 5.0
 RETENTION_MARGIN_S = 60.0
-"""Kept beyond what was promised: clocks differ, and a reader may be slow."""
+"""Retention beyond the promised one: clocks differ, and readers may be slow."""
 
 _MAX_DELETES = 90
-"""Rows deleted by one transaction, which holds 100 entries."""
+"""Maximum rows deleted by one transaction, whose limit is 100 entries."""
 
 _log = part_logger("jobs")
 
 
 class Sweeper:
-    """Sweeps the jobs for which this instance is first in line."""
+    """Deletes expired jobs for which this instance ranks first."""
 
     def __init__(
         self,
@@ -46,15 +46,15 @@
         living: Callable[[], list[str]],
         quota_prefix_of: Callable[[str, str], str | None],
     ) -> None:
-        """Prepares the sweeper.
+        """Initializes the sweeper.
 
         Args:
-          platform: Where rows and objects lie.
+          platform: Stores rows and objects.
           job_index: All jobs as known here.
-          keep_s: How long after its acceptance a job must stay readable.
-          clock: Unix time in seconds.
-          owner: Names this start of this instance.
-          living: Names all living instances.
+          keep_s: How long a job must stay readable after its acceptance.
+          clock: Returns the Unix time in seconds.
+          owner: Owner name of this instance; it changes with each restart.
+          living: Returns the owner names of all live instances.
           quota_prefix_of: Returns the route prefix whose quota counts the tokens of
             a host and path; None where no limit applies.
         """
@@ -67,14 +67,14 @@
         self.quota_prefix_of = quota_prefix_of
 
     async def run(self) -> None:
-        """Sweeps until cancelled."""
+        """Deletes expired jobs until cancelled."""
         while True:
             await trio.sleep(SWEEP_INTERVAL_S)
             for stored in self.job_index:
-                if self._is_ours(stored):
+                if self._should_sweep(stored):
                     await self._sweep_logged(stored)
 
-    def _is_ours(self, stored: StoredJob) -> bool:
+    def _should_sweep(self, stored: StoredJob) -> bool:
         row = stored.row
         if (
             row.open
@@ -86,14 +86,18 @@
     async def _sweep_logged(self, stored: StoredJob) -> None:
         try:
             if await self.sweep(stored):
-                _log.info("Job swept away.", job=stored.row.job)
+                _log.info("Job deleted.", job=stored.row.job)
         except CoppercleatError as error:
             _log.info(
-                "A job could not be swept.", job=stored.row.job, reason=str(error)
+                "Job could not be deleted.", job=stored.row.job, reason=str(error)
             )
 
     async def sweep(self, stored: StoredJob) -> bool:
-        """Removes all of a job, its own row last; returns whether it did."""
+        """Deletes all rows and the input object of a job, its own row last.
+
+        Returns:
+          Whether the job's row was deleted; not so if it has changed meanwhile.
+        """
         row = stored.row
         for kind in ("result", "partial", "input"):
             rows = await self.platform.scan(
@@ -106,7 +110,7 @@
         return await self._remove_row(stored)
 
     async def _remove_row(self, stored: StoredJob) -> bool:
-        """Removes a job's row and its tokens from the quota, at once."""
+        """Deletes a job's row and lowers its route's quota in one transaction."""
         row = stored.row
         checks = [Check(job_key(row.job), stored.version)]
         puts = []
@@ -116,9 +120,9 @@
             rows = await self.platform.read([key], part=row.host)
             if key in rows:
                 quota = decode_row(rows[key], QuotaRow)
-                left = max(0, quota.accepted_tokens - sum(row.tokens))
+                remaining = max(0, quota.accepted_tokens - sum(row.tokens))
                 checks.append(Check(key, rows[key].version))
-                lowered = QuotaRow(accepted_tokens=left)
+                lowered = QuotaRow(accepted_tokens=remaining)
                 puts.append(Put(key, msgspec.json.encode(lowered)))
         answer = await self.platform.transact(
             Transaction(
--- a/src/coppercleat/jobs/_worker.py
+++ b/src/coppercleat/jobs/_worker.py
@@ -19,8 +19,8 @@
     limit_checkpoints,
 )
 from coppercleat.jobs._run import JobRun
-from coppercleat.jobs._stalled_jobs import StalledJobs
 from coppercleat.jobs._starter import MAX_INDEX_AGE_S, ItemStarter
+from coppercleat.jobs._still_jobs import StalledJobs
 from coppercleat.observability import part_logger
 from coppercleat.routing import ranked
 from coppercleat.serving import ItemEvents, RouteTable, Waiting
@@ -262,7 +262,7 @@
         A job of another owner is logged only by the first-ranked instance.
         """
         now = trio.current_time()
-        stalled = self._stalled_jobs.look(
+        stalled = self._stalled_jobs.find_due(
             self.job_index, should_report=self._should_report, now=now
         )
         for stored, stalled_s in stalled:
--- a/tests/features/steps/job_steps.py
+++ b/tests/features/steps/job_steps.py
@@ -198,7 +198,7 @@
     still = StalledJobs()
     context.said = []
     for now in range(seconds + 1):
-        found = still.look(known, should_report=lambda job: True, now=float(now))
+        found = still.find_due(known, should_report=lambda job: True, now=float(now))
         context.said += [job.row.job for job, _ in found]
 
 
