--- a/src/coppercleat/jobs/_pace.py
+++ b/src/coppercleat/jobs/_pace.py
@@ -1,4 +1,4 @@
-"""Estimates the remaining run time of items from earlier runs."""
+"""Estimates the remaining run time of items from earlier items."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
     Attributes:
       events: Mean number of events of an item.
-      interval_s: Mean seconds between two events of a run.
+      interval_s: Mean seconds between two events.
     """
 
     def __init__(self) -> None:
@@ -26,11 +26,11 @@
         self.interval_s = _INITIAL_EVENT_INTERVAL_S
 
     def observe_run(self, *, events: int, seconds: float) -> None:
-        """Adds a run to the mean event interval.
+        """Adds an attempt to the mean event interval.
 
         Args:
-          events: Events received in the run; a run without events is ignored.
-          seconds: Duration of the run.
+          events: Events received; an attempt without events is ignored.
+          seconds: Duration of the attempt.
         """
         if events:
             self.interval_s += _SMOOTHING * (seconds / events - self.interval_s)
@@ -43,7 +43,7 @@
         """Returns the estimated seconds that an item needs if it starts now.
 
         Args:
-          events_received: Events that earlier runs of the item delivered.
+          events_received: Events that earlier attempts of the item delivered.
         """
         left = max(1.0, self.events - events_received)
         return _FIRST_EVENT_DELAY_S + left * self.interval_s
--- a/src/coppercleat/jobs/_run.py
+++ b/src/coppercleat/jobs/_run.py
@@ -123,7 +123,7 @@
     Attributes:
       stored: The job's row as last read or written.
       pending: Items that wait for a slot, ordered by index.
-      running: Items at upstreams, by index.
+      running: Items that run at upstreams, by index.
       finished: Items whose results are still to be committed.
       lateness_logged: Whether the warning that the job will be late was logged.
     """
--- a/src/coppercleat/jobs/_schedule.py
+++ b/src/coppercleat/jobs/_schedule.py
@@ -15,6 +15,9 @@
     """An item that may be started now.
 
     Attributes:
+      run: The item's job.
+      item: The item.
+      route: The job's route.
       late: Whether the item cannot finish by its job's due time.
     """
 
--- a/tests/features/job_plays.feature
+++ b/tests/features/job_plays.feature
@@ -1,13 +1,13 @@
 Feature: Accepted jobs are read to their end, whatever the store and the instances do
 
-  # A play is drawn whole from its seed: three instances, a store that is away, silent,
-  # loses answers, takes effect late or drops its history, instances that are killed and
-  # start again, jobs that are submitted and ended. After all has healed each accepted job
-  # must be read to its last position, and only one whose end was asked has cancelled items.
-  Scenario Outline: Plays <first> to <last>
-    Then in plays <first> to <last> every accepted job is read to its end
+  # Randomized simulations of three instances, each determined by its seed: the store is
+  # away or silent, loses responses, applies writes late or drops its history; instances
+  # are killed and restart. Afterwards each accepted job must be readable to its last
+  # position, and only a job whose cancellation was requested may have cancelled items.
+  Scenario Outline: Simulations with seeds <first> to <last>
+    Then in simulations <first> to <last> every accepted job is read to its end
 
-    Examples: without the row that an end writes, 4 of the first 10 plays fail
+    Examples: 4 of the first 10 fail without the row that a cancellation writes
       | first | last |
       | 0     | 19   |
       | 20    | 39   |
--- a/tests/features/steps/job_steps.py
+++ b/tests/features/steps/job_steps.py
@@ -1,4 +1,4 @@
-"""Steps about jobs that end, are accepted or change under their owner."""
+"""Steps about the cancellation, acceptance and takeover of jobs, and stalled jobs."""
 
 import math
 
@@ -29,13 +29,13 @@
 )
 
 
-def finished(index):
+def finished_item(index):
     return FinishedItem(
         index=index, item=f"job-{index}", state=ItemState.COMPLETED, text=b"x"
     )
 
 
-async def read_on(repository, count, after):
+async def read_results(repository, count, after):
     results = []
     while after < count:
         page = await repository.results(HOST, JobId("job"), count, after=after)
@@ -46,17 +46,21 @@
 
 
 @when("a job of {count:d} items, {done:d} of them listed, is ended and then committed")
-def end_then_commit(context, count, done):
+def cancel_then_commit(context, count, done):
     async def run():
         repository = make_repository()
         stored = await accept_job(repository, submission("job", count))
-        # In another order than that of the items.
+        # Results are committed in another order than that of the items.
         for index in reversed(range(done)):
-            stored = await repository.commit(stored, [finished(index)], {})
+            stored = await repository.commit(stored, [finished_item(index)], {})
         assert await repository.end(HOST, JobId("job"))
-        assert await repository.end(HOST, JobId("job")), "it can be ended again"
-        context.answer = await repository.commit(stored, [finished(done)], {})
-        context.read = [await read_on(repository, count, at) for at in range(count)]
+        assert await repository.end(HOST, JobId("job")), (
+            "the repeated cancellation failed"
+        )
+        context.answer = await repository.commit(stored, [finished_item(done)], {})
+        context.read = [
+            await read_results(repository, count, at) for at in range(count)
+        ]
 
     trio.run(run)
     context.count = count
@@ -85,8 +89,8 @@
         assert part == whole[after:], after
 
 
-class Mute(MemoryPlatform):
-    """Carries out changes of jobs some seconds late, and never answers them."""
+class UnresponsivePlatform(MemoryPlatform):
+    """Applies transactions after a delay, and never responds to them."""
 
     effect_s = None
 
@@ -99,9 +103,9 @@
 
 
 @when("a job's {change} takes effect after {effect:g} s, and the store never answers")
-def change_unanswered(context, change, effect):
+def change_without_response(context, change, effect):
     async def run():
-        platform = Mute()
+        platform = UnresponsivePlatform()
         repository, job_index = make_repository(platform), JobIndex(platform)
         worker = make_worker(repository, job_index)
         service = JobService(
@@ -125,21 +129,21 @@
                 reply = await service.submit(submission("job", 3), make_route())
             nursery.cancel_scope.cancel()
         context.reply = reply
-        # The first look at the changes after the effect shows it.
-        looks = math.floor(effect / LOOK_S) + 1
-        context.told_late_s = trio.current_time() - began - looks * LOOK_S
+        # The first poll of the changes after the effect shows it.
+        polls = math.floor(effect / LOOK_S) + 1
+        context.reply_delay_s = trio.current_time() - began - polls * LOOK_S
 
     trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
 @then("the client is told {answer} at most {within:g} s after the changes show it")
-def told_soon(context, answer, within):
+def reply_is_prompt(context, answer, within):
     assert context.reply.answer.value == answer, context.reply
-    assert context.told_late_s <= within, context.told_late_s
+    assert context.reply_delay_s <= within, context.reply_delay_s
 
 
 class SlowInput(MemoryPlatform):
-    """Reads a job's input slowly."""
+    """Delays reads of a job's input."""
 
     async def scan(self, prefix, **options):
         if prefix.startswith("input/"):
@@ -148,7 +152,7 @@
 
 
 @when("the owner of a job of {count:d} items reads its input while the job {changes}")
-def changes_as_it_is_loaded(context, count, changes):
+def job_changes_during_load(context, count, changes):
     async def run():
         platform = SlowInput()
         repository, job_index = make_repository(platform), JobIndex(platform)
@@ -178,7 +182,7 @@
 
 
 @when("{jobs:d} open jobs beside an ended one are looked at for {seconds:d} s")
-def jobs_looked_at(context, jobs, seconds):
+def check_stalled_jobs(context, jobs, seconds):
     def stored(name, *, ended=False):
         row = JobRow(
             job=JobId(name),
@@ -195,14 +199,16 @@
     known = [stored(f"j-{number}") for number in range(jobs)] + [
         stored("e", ended=True)
     ]
-    still = StalledJobs()
-    context.said = []
+    stalled_jobs = StalledJobs()
+    context.reported = []
     for now in range(seconds + 1):
-        found = still.find_due(known, should_report=lambda job: True, now=float(now))
-        context.said += [job.row.job for job, _ in found]
+        found = stalled_jobs.find_due(
+            known, should_report=lambda job: True, now=float(now)
+        )
+        context.reported += [job.row.job for job, _ in found]
 
 
 @then("{said:d} lines are due, {again:d} of them of a job that was said before")
 def lines_due(context, said, again):
-    assert len(context.said) == said, context.said
-    assert len(context.said) - len(set(context.said)) == again, context.said
+    assert len(context.reported) == said, context.reported
+    assert len(context.reported) - len(set(context.reported)) == again, context.reported
