--- a/src/coppercleat/gateway/_gateway.py
+++ b/src/coppercleat/gateway/_gateway.py
@@ -152,7 +152,7 @@
             holds_lease=self.watch.holds_lease,
             isolated=self._isolated,
             pause_s=lambda: jobs_pause_s(self.settings, self.watch.instances),
-            on_taken=self.peers.job_taken,
+            on_takeover=self.peers.job_taken,
             on_commit=metrics.committed,
         )
         self.sweeper = Sweeper(
@@ -232,7 +232,7 @@
         """Looks anew for slots, after others have told what they have in flight."""
         self.items.preempt()
         self.admission.look()
-        self.worker.look()
+        self.worker.wake()
 
     def _unknown_changed(self) -> None:
         """Tells peers of slots that are held or have come free, and uses these."""
@@ -240,7 +240,7 @@
         self._counts_changed()
 
     def _waits(self) -> bool:
-        return len(self.admission.queue) > 0 or self.worker.waits()
+        return len(self.admission.queue) > 0 or self.worker.has_waiting_items()
 
     def _waiting(self) -> tuple[Waiting, ...]:
         now = trio.current_time()
@@ -274,7 +274,7 @@
             nursery.start_soon(self.forwarder.silence.run)
             nursery.start_soon(self.survey.run)
             nursery.start_soon(self.end_watch.run)
-            nursery.start_soon(self.items.end_silent)
+            nursery.start_soon(self.items.cancel_stalled)
             nursery.start_soon(self.worker.run)
             nursery.start_soon(self.sweeper.run)
 
--- a/src/coppercleat/gateway/_job_service.py
+++ b/src/coppercleat/gateway/_job_service.py
@@ -183,7 +183,7 @@
         """
 
         async def write() -> JobReply:
-            found = await self.repository.end(host, job)
+            found = await self.repository.cancel(host, job)
             stored = await self.repository.find(host, job)
             if stored is not None:
                 self.job_index.observe(stored)
--- a/src/coppercleat/jobs/_items.py
+++ b/src/coppercleat/jobs/_items.py
@@ -259,7 +259,7 @@
         before = len(item.events)
         with self._slot_released(running), running.scope:
             outcome = await self._attempt(running, attempt)
-        self._estimator.observe_run(
+        self._estimator.observe_attempt(
             events=len(item.events) - before,
             seconds=trio.current_time() - running.began_at,
         )
@@ -372,7 +372,7 @@
                     silent=silent,
                 )
 
-    async def end_silent(self) -> None:
+    async def cancel_stalled(self) -> None:
         """Cancels stalled attempts, until cancelled itself."""
         async for now in looks_for_silence():
             for running in self._running:
--- a/src/coppercleat/jobs/_pace.py
+++ b/src/coppercleat/jobs/_pace.py
@@ -25,7 +25,7 @@
         self.events = _INITIAL_EVENTS
         self.interval_s = _INITIAL_EVENT_INTERVAL_S
 
-    def observe_run(self, *, events: int, seconds: float) -> None:
+    def observe_attempt(self, *, events: int, seconds: float) -> None:
         """Adds an attempt to the mean event interval.
 
         Args:
--- a/src/coppercleat/jobs/_repository.py
+++ b/src/coppercleat/jobs/_repository.py
@@ -341,7 +341,9 @@
 
     # Changes.
 
-    async def take(self, stored: StoredJob, *, owner: str) -> StoredJob | Superseded:
+    async def set_owner(
+        self, stored: StoredJob, *, owner: str
+    ) -> StoredJob | Superseded:
         """Changes the owner of a job; ``NO_OWNER`` releases it."""
         return await self._update(
             stored, msgspec.structs.replace(stored.row, owner=owner)
@@ -376,7 +378,7 @@
         changed = msgspec.structs.replace(row, listed=listed, owner=owner)
         return await self._update(stored, changed, puts)
 
-    async def end(self, host: str, job: JobId) -> bool:
+    async def cancel(self, host: str, job: JobId) -> bool:
         """Cancels a job for its client; returns whether the job exists.
 
         A row written in the same transaction records the unlisted items, which readers
--- a/src/coppercleat/jobs/_worker.py
+++ b/src/coppercleat/jobs/_worker.py
@@ -77,7 +77,7 @@
         holds_lease: Callable[[], bool],
         isolated: Callable[[], bool],
         pause_s: Callable[[], float],
-        on_taken: Callable[[JobId], None],
+        on_takeover: Callable[[JobId], None],
         on_commit: Callable[[str], None],
     ) -> None:
         """Initializes the worker.
@@ -96,7 +96,7 @@
           isolated: Returns whether this instance reaches neither the store nor any
             other instance, so that others must be assumed to take over its jobs.
           pause_s: Returns the seconds between two refreshes of the job index.
-          on_taken: Called with each job that was taken over here.
+          on_takeover: Called with each job that was taken over here.
           on_commit: Called with the outcome of each commit.
         """
         self.repository = repository
@@ -108,7 +108,7 @@
         self.living = living
         self.holds_lease = holds_lease
         self.pause_s = pause_s
-        self.on_taken = on_taken
+        self.on_takeover = on_takeover
         self.on_commit = on_commit
         self.stopping = False
         self.runs: dict[JobId, JobRun] = {}
@@ -158,14 +158,14 @@
         """Returns the waiting items to announce to other instances."""
         return self._starter.waiting() if self._may_start() else ()
 
-    def waits(self) -> bool:
+    def has_waiting_items(self) -> bool:
         """Returns whether any item waits for a slot."""
         now = trio.current_time()
         return any(run.startable(now) for run in self.runs.values())
 
-    def look(self) -> None:
+    def wake(self) -> None:
         """Triggers a search for free slots if any item waits."""
-        if self.waits():
+        if self.has_waiting_items():
             self._starter.wake()
 
     # Ownership.
@@ -224,7 +224,7 @@
                 self._orphans.pop(job, None)
             elif stored.row.owner == self.owner:
                 self._start_job(stored, "owned, but not running here")
-            elif self._owner_lives(stored.row.owner, now):
+            elif self._is_owner_alive(stored.row.owner, now):
                 self._orphans.pop(job, None)
             else:
                 since = self._orphans.setdefault(job, now)
@@ -234,13 +234,13 @@
                     assert self._nursery is not None
                     self._nursery.start_soon(self._take_over, stored)
 
-    def _owner_lives(self, owner: str, now: float) -> bool:
+    def _is_owner_alive(self, owner: str, now: float) -> bool:
         since = self._first_seen.setdefault(owner, now)
         return owner != NO_OWNER and self.owner_lives(owner, since=since)
 
     async def _take_over(self, stored: StoredJob) -> None:
         try:
-            taken = await self.repository.take(stored, owner=self.owner)
+            taken = await self.repository.set_owner(stored, owner=self.owner)
         except CoppercleatError as error:
             _log.info("Job takeover failed.", job=stored.row.job, reason=str(error))
             self._active.discard(stored.row.job)
@@ -252,7 +252,7 @@
             return
         _log.info("Job taken over.", job=stored.row.job, owner_before=stored.row.owner)
         self.job_index.observe(taken)
-        self.on_taken(stored.row.job)
+        self.on_takeover(stored.row.job)
         await self._wait_for_handover(stored.row.job)
         await self._run_job(taken, "taken over")
 
@@ -281,7 +281,7 @@
                 still_s=round(stalled_s, 1),
                 version=stored.version,
                 owner=owner,
-                owner_lives=self._owner_lives(owner, now),
+                owner_lives=self._is_owner_alive(owner, now),
                 held=run is not None,
                 begun=job in self._active,
                 pending=len(pending) if run is not None else None,
--- a/tests/features/steps/job_steps.py
+++ b/tests/features/steps/job_steps.py
@@ -53,8 +53,8 @@
         # Results are committed in another order than that of the items.
         for index in reversed(range(done)):
             stored = await repository.commit(stored, [finished_item(index)], {})
-        assert await repository.end(HOST, JobId("job"))
-        assert await repository.end(HOST, JobId("job")), (
+        assert await repository.cancel(HOST, JobId("job"))
+        assert await repository.cancel(HOST, JobId("job")), (
             "the repeated cancellation failed"
         )
         context.answer = await repository.commit(stored, [finished_item(done)], {})
@@ -164,9 +164,9 @@
             worker.start_accepted_job(stored)
             await trio.sleep(0.2)
             if changes == "is ended":
-                await repository.end(HOST, JobId("job"))
+                await repository.cancel(HOST, JobId("job"))
             elif changes == "is taken by another":
-                await repository.take(stored, owner="other/1")
+                await repository.set_owner(stored, owner="other/1")
             if changes != "stays as it is":
                 job_index.observe(await repository.find(HOST, JobId("job")))
             await trio.sleep(0.6)
--- a/tests/features/steps/serving_steps.py
+++ b/tests/features/steps/serving_steps.py
@@ -278,7 +278,7 @@
         platform.losing = trouble == "every answer lost"
         while done:
             if trouble == "another owner between":
-                taken = await repository.take(stored, owner="other/1")
+                taken = await repository.set_owner(stored, owner="other/1")
                 assert isinstance(taken, StoredJob)
                 stored, stale = taken, stored
                 refused = await repository.commit(stale, done[:2], {})
@@ -395,7 +395,7 @@
     length, times = context.scenario.name.split()[2].split("x")
     pace = ItemDurationEstimator()
     for _ in range(int(times)):
-        pace.observe_run(events=int(length), seconds=int(length) * 0.02)
+        pace.observe_attempt(events=int(length), seconds=int(length) * 0.02)
         pace.observe_item(events=int(length))
     found = pace.seconds_left(made)
     assert least <= found <= most, found
@@ -419,7 +419,7 @@
         ]
         stored = await repository.commit(stored, done, {})
         if state == "ended":
-            await repository.end(HOST, JobId("job"))
+            await repository.cancel(HOST, JobId("job"))
         job_index = JobIndex(context.platform)
         await job_index.refresh()
         sweeper = Sweeper(
--- a/tests/harness/_ends_play.py
+++ b/tests/harness/_ends_play.py
@@ -113,7 +113,7 @@
             holds_lease=lambda: True,
             isolated=lambda: False,
             pause_s=lambda: 0.4,
-            on_taken=lambda job: None,
+            on_takeover=lambda job: None,
             on_commit=lambda outcome: None,
         )
         self.service = JobService(
@@ -133,7 +133,7 @@
                 nursery.start_soon(self._read_list)
                 nursery.start_soon(self._read_rows)
                 nursery.start_soon(self._read_counts)
-                nursery.start_soon(self.items.end_silent)
+                nursery.start_soon(self.items.cancel_stalled)
                 nursery.start_soon(self.worker.run)
 
     async def _read_list(self) -> None:
@@ -156,7 +156,7 @@
                 if other is not self:
                     peer = InstanceId(other.name)
                     self.placement.peers.observe(peer, other.placement.own())
-            self.worker.look()
+            self.worker.wake()
             # All are told of by all: as seldom as they are many.
             await trio.sleep(COUNTS_EVERY_S * max(1.0, self.play.plan.instances / 6))
 
--- a/tests/harness/_job_play.py
+++ b/tests/harness/_job_play.py
@@ -232,7 +232,7 @@
             holds_lease=self.watch.holds_lease,
             isolated=lambda: False,
             pause_s=lambda: 0.4,
-            on_taken=lambda job: None,
+            on_takeover=lambda job: None,
             on_commit=lambda outcome: None,
         )
         self.service = JobService(
