--- a/tests/features/steps/serving_steps.py
+++ b/tests/features/steps/serving_steps.py
@@ -282,7 +282,7 @@
         platform.losing = trouble == "every answer lost"
         while done:
             if trouble == "another owner between":
-                taken = await repository.take(stored, owner="other/1")
+                taken = await repository.set_owner(stored, owner="other/1")
                 assert isinstance(taken, StoredJob)
                 stored, stale = taken, stored
                 refused = await repository.commit(stale, done[:2], {})
@@ -423,7 +423,7 @@
         ]
         stored = await repository.commit(stored, done, {})
         if state == "ended":
-            await repository.end(HOST, JobId("job"))
+            await repository.cancel(HOST, JobId("job"))
         job_index = JobIndex(context.platform)
         await job_index.refresh()
         sweeper = Sweeper(
--- a/tests/harness/_ends_play.py
+++ b/tests/harness/_ends_play.py
@@ -113,7 +113,7 @@
             holds_lease=lambda: True,
             isolated=lambda: False,
             pause_s=lambda: 0.4,
-            on_taken=lambda job: None,
+            on_takeover=lambda job: None,
             on_commit=lambda outcome: None,
         )
         self.service = JobService(
@@ -156,7 +156,7 @@
                 if other is not self:
                     peer = InstanceId(other.name)
                     self.placement.peers.observe(peer, other.placement.own_in_flight())
-            self.worker.look()
+            self.worker.wake()
             # All are told of by all: as seldom as they are many.
             await trio.sleep(COUNTS_EVERY_S * max(1.0, self.play.plan.instances / 6))
 
