--- a/src/coppercleat/gateway/_gateway.py
+++ b/src/coppercleat/gateway/_gateway.py
@@ -148,7 +148,7 @@
             clock=time.time,
             routes=lambda: self.watch.table,
             is_owner_alive=self.watch.is_owner_alive,
-            living=self.watch.living,
+            live_instances=self.watch.live_instances,
             holds_lease=self.watch.holds_lease,
             isolated=self._isolated,
             pause_s=lambda: jobs_poll_interval_s(self.settings, self.watch.instances),
@@ -161,7 +161,7 @@
             keep_s=settings.keep_s,
             clock=time.time,
             owner=self.watch.owner_name,
-            living=self.watch.living,
+            live_instances=self.watch.live_instances,
             quota_of=self._quota_of,
         )
         self.jobs = JobService(
@@ -187,8 +187,8 @@
         self.peers.on_peer_dropped = self.survey.doubt
         self.peers.on_taken = self.worker.taken_elsewhere
         self.peers.on_handover = self.worker.handed_over
-        self.watch.kept_ends = self.end_keeper.to_keep
-        self.watch.on_kept_ends = self.end_keeper.take_kept
+        self.watch.quarantine_records = self.end_keeper.to_keep
+        self.watch.on_quarantine_records = self.end_keeper.take_kept
         self.peers.ends = self._ends
         self.peers.on_ends = self._hear_of_ends
         self.end_watch.on_news = self.peers.ends_found
@@ -208,8 +208,8 @@
 
     def _ranked(self, fingerprint: Fingerprint) -> list[str]:
         """Returns all living instances, in an order that they agree on."""
-        living = [self.settings.instance, *self.peers.others()]
-        return ranked(shown(fingerprint), living)
+        live_instances = [self.settings.instance, *self.peers.others()]
+        return ranked(shown(fingerprint), live_instances)
 
     def _tries(self, fingerprint: Fingerprint, overdue_s: float) -> bool:
         """Returns whether a trial of a request falls to this instance.
--- a/src/coppercleat/jobs/_items.py
+++ b/src/coppercleat/jobs/_items.py
@@ -175,7 +175,7 @@
             if not isinstance(state, NoUpstreamAvailable):
                 self._patience.reset()
                 return state
-            if not state.waits or not self._patience.expired(now):
+            if not state.queued_ahead or not self._patience.expired(now):
                 return None
             ahead = 0
 
--- a/src/coppercleat/jobs/_sweep.py
+++ b/src/coppercleat/jobs/_sweep.py
@@ -43,7 +43,7 @@
         keep_s: float,
         clock: Callable[[], float],
         owner: str,
-        living: Callable[[], list[str]],
+        live_instances: Callable[[], list[str]],
         quota_of: Callable[[str, str], str | None],
     ) -> None:
         """Prepares the sweeper.
@@ -54,7 +54,7 @@
           keep_s: How long after its acceptance a job must stay readable.
           clock: Unix time in seconds.
           owner: Names this start of this instance.
-          living: Names all living instances.
+          live_instances: Names all living instances.
           quota_of: Returns the prefix whose quota counts a host's and path's tokens,
             None where no limit holds.
         """
@@ -63,7 +63,7 @@
         self.keep_s = keep_s
         self.clock = clock
         self.owner = owner
-        self.living = living
+        self.live_instances = live_instances
         self.quota_of = quota_of
 
     async def run(self) -> None:
@@ -78,7 +78,7 @@
         row = held.row
         if row.open or self.clock() < row.accepted_at + self.keep_s + KEEP_MARGIN_S:
             return False
-        return ranked(row.job, self.living())[0] == self.owner
+        return ranked(row.job, self.live_instances())[0] == self.owner
 
     async def _sweep_logged(self, held: Held) -> None:
         try:
--- a/src/coppercleat/jobs/_worker.py
+++ b/src/coppercleat/jobs/_worker.py
@@ -67,7 +67,7 @@
         clock: Callable[[], float],
         routes: Callable[[], RouteTable | None],
         is_owner_alive: Callable[..., bool],
-        living: Callable[[], list[str]],
+        live_instances: Callable[[], list[str]],
         holds_lease: Callable[[], bool],
         isolated: Callable[[], bool],
         pause_s: Callable[[], float],
@@ -85,7 +85,7 @@
           routes: Returns the routes in force.
           is_owner_alive: Tells whether the owner of a job is alive, given since when
             its name has been known here.
-          living: Names all living instances.
+          live_instances: Names all living instances.
           holds_lease: Tells whether others still take this instance as alive.
           isolated: Tells whether this instance hears neither the store nor any
             other instance, so that others must have taken its jobs.
@@ -99,7 +99,7 @@
         self.owner = owner
         self.clock = clock
         self.is_owner_alive = is_owner_alive
-        self.living = living
+        self.live_instances = live_instances
         self.holds_lease = holds_lease
         self.pause_s = pause_s
         self.on_taken = on_taken
@@ -218,7 +218,7 @@
                 self._orphans.pop(job, None)
             else:
                 since = self._orphans.setdefault(job, now)
-                place = ranked(job, self.living()).index(self.owner)
+                place = ranked(job, self.live_instances()).index(self.owner)
                 if now - since >= place * _TAKE_STAGGER_S:
                     self._taking.add(job)
                     assert self._nursery is not None
@@ -284,7 +284,7 @@
             return False
         if held.row.owner == self.owner:
             return True
-        return ranked(held.row.job, self.living())[0] == self.owner
+        return ranked(held.row.job, self.live_instances())[0] == self.owner
 
     async def _wait_for_handover(self, job: JobId) -> None:
         """Waits a moment for what the owner before had made, if it can be heard."""
--- a/src/coppercleat/serving/__init__.py
+++ b/src/coppercleat/serving/__init__.py
@@ -2,7 +2,7 @@
 
 from coppercleat.serving._admission import Admission
 from coppercleat.serving._admission_queue import (
-    RETRY_AFTER_S,
+    MIN_RETRY_AFTER_S,
     AdmissionQueue,
     Overloaded,
     QueuedRequest,
@@ -70,7 +70,7 @@
 
 __all__ = [
     "EVENT_STREAM",
-    "RETRY_AFTER_S",
+    "MIN_RETRY_AFTER_S",
     "Admission",
     "AdmissionQueue",
     "ResponseTimes",
--- a/src/coppercleat/serving/_admission_queue.py
+++ b/src/coppercleat/serving/_admission_queue.py
@@ -30,11 +30,11 @@
 """Late requests that may wait at an upstream while no request here can be on time.
 They use slots that the counts wrongly show as taken, as after a crash of a peer."""
 
-RETRY_AFTER_S = 0.1
+MIN_RETRY_AFTER_S = 0.1
 """Shortest retry delay, in seconds: about the time until a slot of a full fleet is
 released."""
 
-LONGEST_RETRY_S = 5.0
+MAX_RETRY_AFTER_S = 5.0
 """Longest retry delay, in seconds."""
 
 
@@ -217,7 +217,7 @@
         ):
             return NoUpstreamAvailable(f"no upstream serves {request.service}")
         if now > self._dispatch_deadline(request):
-            return Overloaded("no slot came free in time", RETRY_AFTER_S)
+            return Overloaded("no slot came free in time", MIN_RETRY_AFTER_S)
         if ahead == 0 and now > request.on_time_by:
             return self._queue_at_upstream(request, now)
         return None
@@ -290,7 +290,7 @@
         The wait is estimated from the rate at which the service releases slots.
         """
         if len(self._queue) >= MAX_QUEUE_LENGTH:
-            return Overloaded("too many requests wait here", LONGEST_RETRY_S)
+            return Overloaded("too many requests wait here", MAX_RETRY_AFTER_S)
         total = self.placement.total_slots(request.service, now=now)
         missing = (
             1
@@ -346,8 +346,8 @@
         gap_s = 1 / max(rate * share, 1e-9)
         last = self._next_retry_at.get(service, now)
         at = max(last, now + wait_s) + gap_s * self._rng.uniform(0.5, 1.5)
-        self._next_retry_at[service] = min(at, now + LONGEST_RETRY_S)
-        return max(RETRY_AFTER_S, self._next_retry_at[service] - now)
+        self._next_retry_at[service] = min(at, now + MAX_RETRY_AFTER_S)
+        return max(MIN_RETRY_AFTER_S, self._next_retry_at[service] - now)
 
 
 def _queued_work(request: QueuedRequest, count: int, now: float) -> QueuedWork:
--- a/src/coppercleat/serving/_exchange.py
+++ b/src/coppercleat/serving/_exchange.py
@@ -6,7 +6,7 @@
 import trio
 
 from coppercleat.ids import UpstreamId
-from coppercleat.serving._admission_queue import RETRY_AFTER_S
+from coppercleat.serving._admission_queue import MIN_RETRY_AFTER_S
 from coppercleat.serving._answer_use import AnswerHead, head_of
 from coppercleat.serving._model import OnlineRequest, Reply, Route
 from coppercleat.serving._progress import AttemptEnd, Passed, RequestProgress
@@ -53,7 +53,7 @@
     silent: bool = False
     disconnected: bool = False
     waited_s: float = 0.0
-    retry_after_s: float = RETRY_AFTER_S
+    retry_after_s: float = MIN_RETRY_AFTER_S
 
     def allow_again(self, upstream: UpstreamId) -> None:
         """Lets an upstream be tried once more that has run nothing of the request."""
--- a/src/coppercleat/serving/_forwarding.py
+++ b/src/coppercleat/serving/_forwarding.py
@@ -23,7 +23,7 @@
     Route,
     RouteKind,
 )
-from coppercleat.serving._placement import FULL_S, NoUpstreamAvailable
+from coppercleat.serving._placement import FULL_BACKOFF_S, NoUpstreamAvailable
 from coppercleat.serving._progress import AttemptEnd, NextStep, RequestProgress
 from coppercleat.serving._silence import (
     SilenceWatch,
@@ -289,7 +289,7 @@
             return AttemptEnd.NOT_RUN
         if answer.refused:
             exchange.reason = f"the upstream refused with {answer.status}"
-            state.full_until = trio.current_time() + FULL_S
+            state.full_until = trio.current_time() + FULL_BACKOFF_S
             exchange.allow_again(state.id)
             return AttemptEnd.NOT_RUN
         use = use_of(
--- a/src/coppercleat/serving/_placement.py
+++ b/src/coppercleat/serving/_placement.py
@@ -31,7 +31,7 @@
 """Largest random load that is added when upstreams are compared, so that instances
 with the same counts choose different ones."""
 
-FULL_S = 0.1
+FULL_BACKOFF_S = 0.1
 """Seconds without online requests for an upstream that refused one as full: about the
 time until one of its slots is released."""
 
@@ -68,11 +68,11 @@
 
     Attributes:
       reason: Cause in words.
-      waits: Whether a slot is free, but work queued elsewhere is ahead.
+      queued_ahead: Whether a slot is free, but work queued elsewhere is ahead.
     """
 
     reason: str
-    waits: bool = False
+    queued_ahead: bool = False
 
 
 class Placement:
@@ -337,7 +337,7 @@
             )
         if left <= ahead:
             return NoUpstreamAvailable(
-                f"{ahead} are queued ahead at {service}", waits=True
+                f"{ahead} are queued ahead at {service}", queued_ahead=True
             )
         states = [
             self.states[upstream] for upstream in free if upstream not in ineligible
--- a/src/coppercleat/serving/_silent_runs.py
+++ b/src/coppercleat/serving/_silent_runs.py
@@ -67,4 +67,4 @@
 
     def blames(self, state: UpstreamState, heard_at: float) -> bool:
         """Returns whether a silence is held against its upstream, once a moment."""
-        return state.silences.is_new(heard_at)
+        return state.stall_onsets.is_new(heard_at)
--- a/src/coppercleat/serving/_survey.py
+++ b/src/coppercleat/serving/_survey.py
@@ -17,7 +17,7 @@
 from coppercleat.ids import UpstreamId
 from coppercleat.observability import part_logger
 from coppercleat.serving._placement import Placement
-from coppercleat.serving._unknown_runs import HELD_S, estimate_untracked
+from coppercleat.serving._unknown_runs import UNTRACKED_EXPIRY_S, estimate_untracked
 from coppercleat.serving._upstream_call import (
     UpstreamBrokeError,
     UpstreamCaller,
@@ -150,7 +150,7 @@
             if state is not None and now < state.unverified_until:
                 continue
             if state is not None and state.untracked:
-                if now >= asked.believed_at + HELD_S:
+                if now >= asked.believed_at + UNTRACKED_EXPIRY_S:
                     state.abandoned = 0
                     self._believe(state, 0)
             elif upstream not in self._asking and now >= max(
@@ -167,7 +167,10 @@
 
     def _mark_unproved(self) -> None:
         """Marks upstreams that were never asked: any may run requests of before."""
-        until = min(self._all_until, trio.current_time() + AFTER_START_S) + HELD_S
+        until = (
+            min(self._all_until, trio.current_time() + AFTER_START_S)
+            + UNTRACKED_EXPIRY_S
+        )
         for upstream, state in self.placement.states.items():
             if upstream not in self._of:
                 state.unverified_until = until
--- a/src/coppercleat/serving/_unknown_runs.py
+++ b/src/coppercleat/serving/_unknown_runs.py
@@ -14,7 +14,7 @@
 """Seconds without data after which an abandoned attempt is assumed to be still running:
 the connection to the upstream may be dead, so it cannot learn of the cancellation."""
 
-HELD_S = 5.0
+UNTRACKED_EXPIRY_S = 5.0
 """Seconds without a report after which untracked requests are taken to have ended:
 about the duration of the longest batch item."""
 
--- a/src/coppercleat/serving/_upstream_state.py
+++ b/src/coppercleat/serving/_upstream_state.py
@@ -30,7 +30,7 @@
       upstream: The upstream as last listed.
       health: Circuit breaker; ejects the upstream while all attempts fail.
       results: Recent attempts; show whether the upstream fails some of them.
-      silences: Onsets of recent stalls that count against the upstream.
+      stall_onsets: Onsets of recent stalls that count against the upstream.
       online: Online requests of this instance in flight there.
       batch: Batch items of this instance in flight there.
       gone: Whether it was found to have left, possibly before the list shows it.
@@ -55,7 +55,7 @@
     upstream: Upstream
     health: Health = attrs.field(factory=lambda: Health(longest_s=MAX_EJECTION_S))
     results: RecentResults = attrs.field(factory=RecentResults)
-    silences: SilentMoments = attrs.field(factory=SilentMoments)
+    stall_onsets: SilentMoments = attrs.field(factory=SilentMoments)
     online: int = 0
     batch: int = 0
     gone: bool = False
--- a/src/coppercleat/serving/_watch.py
+++ b/src/coppercleat/serving/_watch.py
@@ -166,9 +166,9 @@
       table: The routes in force; None until some are known.
       upstreams_loaded: Whether a list of upstreams has come from the store or a peer.
       on_members: Called with id, peer address and zone of the other instances.
-      kept_ends: Returns the quarantined requests to store in the own row.
-      on_kept_ends: Called with the quarantined requests in any row, that of an earlier
-        start of this instance included.
+      quarantine_records: Returns the quarantined requests to store in the own row.
+      on_quarantine_records: Called with the quarantined requests in any row, that of
+        an earlier start of this instance included.
     """
 
     def __init__(
@@ -192,8 +192,10 @@
         self.on_members: Callable[[list[tuple[InstanceId, str, ZoneId]]], None] = (
             lambda members: None
         )
-        self.kept_ends: Callable[[], tuple[KeptEnds, ...]] = tuple
-        self.on_kept_ends: Callable[[tuple[KeptEnds, ...]], None] = lambda kept: None
+        self.quarantine_records: Callable[[], tuple[KeptEnds, ...]] = tuple
+        self.on_quarantine_records: Callable[[tuple[KeptEnds, ...]], None] = (
+            lambda kept: None
+        )
         self._list = UpstreamList()
         self._upstreams: tuple[Upstream, ...] = ()
         self._upstreams_at = float("-inf")
@@ -268,7 +270,7 @@
         """Name of this start of the instance as an owner of jobs."""
         return f"{self.settings.instance}/{self.boot}"
 
-    def living(self) -> list[str]:
+    def live_instances(self) -> list[str]:
         """Returns the owner names of all live instances, this one included."""
         now = trio.current_time()
         names = [f"{i}/{s.row.boot}" for i, s in self._instances.items()]
@@ -422,13 +424,13 @@
             peers=self.settings.peers,
             zone=self.settings.zone,
             leaving=self._leaving,
-            quarantined=self.kept_ends(),
+            quarantined=self.quarantine_records(),
         )
 
     def _restore_quarantined(self, row: Row) -> None:
         """Restores quarantined requests from the own row, if it can be decoded."""
         with contextlib.suppress(PlatformUnavailableError):
-            self.on_kept_ends(decode_row(row, InstanceRow).quarantined)
+            self.on_quarantine_records(decode_row(row, InstanceRow).quarantined)
 
     def _observe_row(self, instance: InstanceId, row: Row, now: float) -> None:
         """Records another instance's row; one that cannot be decoded is logged once."""
@@ -446,7 +448,7 @@
             return
         self._instances[instance] = _SeenRow(decoded, row.version, now)
         if decoded.quarantined:
-            self.on_kept_ends(decoded.quarantined)
+            self.on_quarantine_records(decoded.quarantined)
 
     async def leave(self) -> None:
         """Announces the shutdown, so that the others need not await the lease's end."""
--- a/tests/features/steps/kept_from_running_steps.py
+++ b/tests/features/steps/kept_from_running_steps.py
@@ -108,10 +108,10 @@
 
 
 @both("silences that began at 3 moments", "x")
-def silences(placement):
+def stall_onsets(placement):
     state = placement.states[X]
     for since in (-0.8, -0.6, -0.6, -0.4):
-        if state.silences.is_new(since):
+        if state.stall_onsets.is_new(since):
             state.failed(0.0)
 
 
--- a/tests/features/steps/online_load_steps.py
+++ b/tests/features/steps/online_load_steps.py
@@ -411,7 +411,7 @@
     found = placement.choose_batch(WEEK, reserve=0, avoid=(), now=10.0, ahead=elsewhere)
     assert isinstance(found, UpstreamState) == end.startswith("placed"), found
     if isinstance(found, NoUpstreamAvailable):
-        assert found.waits == ("elsewhere" in end), found
+        assert found.queued_ahead == ("elsewhere" in end), found
 
 
 @then("beside {known:d} known and {unknown:d} unknown runs {free:d} slots are open")
--- a/tests/features/steps/quarantine_decision_steps.py
+++ b/tests/features/steps/quarantine_decision_steps.py
@@ -252,8 +252,8 @@
         lambda s: s.results.suspect(0.0),
     ),
     "silences": (
-        lambda s: s.silences.is_new(0.0),
-        lambda s: not s.silences.is_new(0.0),
+        lambda s: s.stall_onsets.is_new(0.0),
+        lambda s: not s.stall_onsets.is_new(0.0),
     ),
     "runs in flight": (lambda s: setattr(s, "online", 3), lambda s: s.online == 3),
     "unknown runs": (lambda s: setattr(s, "untracked", 3), lambda s: s.untracked == 3),
@@ -310,8 +310,8 @@
         self.keeper = EndKeeper(
             self.ledger, clock=lambda: time.time() + wall_ahead_s, keeps=lambda f: True
         )
-        self.watch.kept_ends = self.keeper.to_keep
-        self.watch.on_kept_ends = self.keeper.take_kept
+        self.watch.quarantine_records = self.keeper.to_keep
+        self.watch.on_quarantine_records = self.keeper.take_kept
 
     def learn(self, ends):
         now = trio.current_time()
--- a/tests/features/steps/serving_steps.py
+++ b/tests/features/steps/serving_steps.py
@@ -430,7 +430,7 @@
             keep_s=120.0,
             clock=lambda: float(ago),
             owner="me/1",
-            living=lambda: ["me/1"],
+            live_instances=lambda: ["me/1"],
             quota_of=lambda host, path: PREFIX,
         )
         with trio.move_on_after(6):
--- a/tests/features/steps/unknown_runs_steps.py
+++ b/tests/features/steps/unknown_runs_steps.py
@@ -107,8 +107,7 @@
             await trio.sleep(0.01)
             assert self.state.untracked >= 0
             untracked = self.upstream.running() - self.state.online
-            error = self.state.untracked - untracked
-            self.errors.append((trio.current_time(), error))
+            self.errors.append((trio.current_time(), self.state.untracked - untracked))
 
     def run(self, act, *, lasts=5.0):
         """Calls ``act`` 3 s after the start and goes on for a time."""
--- a/tests/harness/_ends_play.py
+++ b/tests/harness/_ends_play.py
@@ -108,8 +108,8 @@
             owner=self.owner,
             clock=trio.current_time,
             routes=lambda: table,
-            is_owner_alive=lambda owner, since: owner in play.living(),
-            living=play.living,
+            is_owner_alive=lambda owner, since: owner in play.live_instances(),
+            live_instances=play.live_instances,
             holds_lease=lambda: True,
             isolated=lambda: False,
             pause_s=lambda: 0.4,
@@ -219,7 +219,7 @@
 
     # What happens.
 
-    def living(self) -> list[str]:
+    def live_instances(self) -> list[str]:
         """Returns the instances that others take for alive."""
         now = trio.current_time()
         fresh = [who for who, at in self._dead.items() if now - at < DEAD_AFTER_S]
--- a/tests/harness/_job_play.py
+++ b/tests/harness/_job_play.py
@@ -228,7 +228,7 @@
             clock=clock,
             routes=lambda: RouteTable(config),
             is_owner_alive=self.watch.is_owner_alive,
-            living=self.watch.living,
+            live_instances=self.watch.live_instances,
             holds_lease=self.watch.holds_lease,
             isolated=lambda: False,
             pause_s=lambda: 0.4,
@@ -250,7 +250,9 @@
                 ("renewal", self.watch._renew),
                 ("instances", self.watch._poll_instances),
             ):
-                nursery.start_soon(self.watch._forever, name, poll, lambda *a, **k: 1.0)
+                nursery.start_soon(
+                    self.watch._poll_forever, name, poll, lambda *a, **k: 1.0
+                )
             nursery.start_soon(self.worker.run)
 
 
