--- a/src/coppercleat/serving/_watch.py
+++ b/src/coppercleat/serving/_watch.py
@@ -400,15 +400,15 @@
                 puts=[Put(key, msgspec.json.encode(self._own_row()))],
             )
             try:
-                answer = await self.platform.transact(renewal)
+                reply = await self.platform.transact(renewal)
             except AnswerLostError:
                 if lost or trio.current_time() - began > _RETRY_LOST_WITHIN_S:
                     raise
                 # The retry has the same condition: at most one of the two succeeds.
                 lost = True
                 continue
-            if not isinstance(answer, TransactionRefused):
-                self._own_version = answer[key]
+            if not isinstance(reply, TransactionRefused):
+                self._own_version = reply[key]
                 self._renewed_at = began
                 return
             # Written by an earlier start, or by a renewal whose reply was lost.
--- a/tests/features/steps/steadiness_steps.py
+++ b/tests/features/steps/steadiness_steps.py
@@ -1,4 +1,4 @@
-"""Steps that ask which upstreams are steady, and what an end there says."""
+"""Steps for flap damping: steady upstreams, and how their crashes count."""
 
 import random
 
@@ -42,38 +42,39 @@
     )
 
 
-class Lives:
-    """One upstream as a placement learns of it.
+class UpstreamHistory:
+    """Applies the events of one upstream to a placement.
 
     Attributes:
-      placement: Knows it; another was listed before, so that it can be new.
+      placement: Given an empty first list where the upstream is to be a new one.
+      upstream: The upstream as last listed.
     """
 
     def __init__(self):
         self.placement = Placement(ZoneId("z"), rng=random.Random(1))
         self.upstream = upstream()
 
-    def learn(self, what):
-        if what == "is in the first list":
+    def apply(self, event):
+        if event == "is in the first list":
             self.placement.replace([self.upstream], now=0.0)
             return
-        what, at = what.rsplit(" at ", 1)
+        event, at = event.rsplit(" at ", 1)
         now = float(at)
-        end = End(self.upstream.id, now, self.upstream.born_ms)
-        if what == "ends":
-            self.placement.record_crash(end, now)
+        crash = End(self.upstream.id, now, self.upstream.born_ms)
+        if event == "crashes":
+            self.placement.record_crash(crash, now)
             return
-        if what == "lives after all, found":
-            self.placement.retract_crash(end)
+        if event == "turns out not to have crashed":
+            self.placement.retract_crash(crash)
             return
         if not self.placement.states:
             self.placement.replace([], now=0.0)
-        if what == "is listed anew":
+        if event == "restarts":
             born_ms = self.upstream.born_ms + 1
             self.upstream = msgspec.structs.replace(self.upstream, born_ms=born_ms)
-        draining = what == "leaves"
+        draining = event == "drains"
         self.upstream = msgspec.structs.replace(self.upstream, draining=draining)
-        listed = [self.upstream] if what != "is gone" else []
+        listed = [self.upstream] if event != "is unlisted" else []
         self.placement.replace(listed, now=now)
 
     @property
@@ -81,78 +82,80 @@
         return self.placement.states[self.upstream.id]
 
 
-@when("an upstream {has}")
-def upstream_has(context, has):
-    context.lives = Lives()
-    for what in has.split(" and "):
-        context.lives.learn(what)
+@when("an upstream {events}")
+def upstream_events(context, events):
+    context.history = UpstreamHistory()
+    for event in events.split(" and "):
+        context.history.apply(event)
 
 
 @then("it is steady from {s:g} s on")
 def is_steady_from(context, s):
-    state = context.lives.state
+    state = context.history.state
     assert abs(max(0.0, state.steady_from) - s) < 1e-6, state
 
 
-LIVED = {
+PASTS = {
     "is in the first list": ["is in the first list"],
     "started 1 s ago": ["is listed at 99"],
-    "started 1 s ago, as before": [
+    "started 1 s ago and flaps": [
         "is listed at 97",
-        "ends at 97.5",
-        "is listed anew at 99",
+        "crashes at 97.5",
+        "restarts at 99",
     ],
     "started 3 s ago": ["is listed at 97"],
-    "started 3 s ago, as before": [
+    "started 3 s ago and flaps": [
         "is listed at 80",
-        "ends at 90",
-        "is listed anew at 91",
-        "ends at 96",
-        "is listed anew at 97",
+        "crashes at 90",
+        "restarts at 91",
+        "crashes at 96",
+        "restarts at 97",
     ],
-    "started 1 s ago, as another tells": ["is listed at 80"],
-    "ended 1 s ago, as another tells": ["is listed at 80"],
+    "started 1 s ago, as a peer reports": ["is listed at 80"],
+    "crashed 1 s ago, as a peer reports": ["is listed at 80"],
 }
-RUNS = {
+ATTEMPTS = {
     "had just begun": (0.0, 0.0),
-    "made nothing for 2 s": (2.0, 0.0),
-    "made some for 0.1 s": (0.1, 0.1),
-    "made some for 0.1 s, and nothing for 2 s": (2.1, 0.1),
-    "made some for 2 s": (2.0, 2.0),
+    "made no progress for 2 s": (2.0, 0.0),
+    "made progress for 0.1 s": (0.1, 0.1),
+    "made progress for 0.1 s, then none for 2 s": (2.1, 0.1),
+    "made progress for 2 s": (2.0, 2.0),
 }
-"""How long ago it began, and for how long it made something, in seconds."""
+"""Seconds since the attempt began, and for which it made progress."""
 
 
-class Gone:
+class NotListening:
     """An upstream at whose address nothing listens."""
 
     async def report(self, asked):
         raise NothingListensError("no report")
 
 
-@when("a run that {run} meets the end of an upstream that {lived}")
-def run_meets_end(context, run, lived):
-    lives = Lives()
-    for what in LIVED[lived]:
-        lives.learn(what)
-    watch, other = EndWatch(incarnation_probe(Gone())), EndLedger()
-    watch.on_ended = lives.placement.record_crash
+@when(
+    "an attempt that {attempt} is interrupted by the crash of an upstream that {past}"
+)
+def attempt_interrupted(context, attempt, past):
+    history = UpstreamHistory()
+    for event in PASTS[past]:
+        history.apply(event)
+    watch, other = EndWatch(incarnation_probe(NotListening())), EndLedger()
+    watch.on_ended = history.placement.record_crash
     watch.on_news = lambda ends, cleared: other.take_told(
         ends, cleared, now=trio.current_time()
     )
 
     async def play():
         await trio.sleep(100.0 - trio.current_time())
-        if lived.endswith("another tells"):
-            told = ToldEnd(OTHER, lives.upstream.id, 1.0, born_ms=1)
+        if past.endswith("a peer reports"):
+            told = ToldEnd(OTHER, history.upstream.id, 1.0, born_ms=1)
             watch.take_news("peer", (told,), ())
-        began_s, moved_on_s = RUNS[run]
+        began_s, moved_on_s = ATTEMPTS[attempt]
         async with trio.open_nursery() as nursery:
             nursery.start_soon(watch.run)
             await trio.testing.wait_all_tasks_blocked()
             watch.broke_off(
                 FINGERPRINT,
-                lives.state,
+                history.state,
                 began=trio.current_time() - began_s,
                 moved_on_s=moved_on_s,
             )
@@ -163,26 +166,26 @@
     context.ledgers = [watch.ledger, other]
 
 
-@then("the end counts {counts}, here and where it is told")
-def counts_so(context, counts):
+@then("the crash counts {counts}, here and at a peer")
+def crash_counts(context, counts):
     for ledger in context.ledgers:
-        [end] = ledger.ends_of(FINGERPRINT)
-        assert end.weak == (counts == "half"), end
+        [crash] = ledger.ends_of(FINGERPRINT)
+        assert crash.weak == (counts == "half"), crash
 
 
 @when(
     "of three upstreams {unsteady:d} have just started, "
-    "and {ends:d} have ended under a request {ago:g} s ago"
+    "and {crashes:d} have crashed under a request {ago:g} s ago"
 )
-def just_started(context, unsteady, ends, ago):
+def just_started(context, unsteady, crashes, ago):
     context.placement = Placement(ZoneId("z"), rng=random.Random(1))
     names = "abc"
     context.placement.replace([upstream(n) for n in names[unsteady:]], now=0.0)
     context.placement.replace([upstream(n) for n in names], now=100.0)
-    context.verdict = verdict_with(ends, at=100.0 - ago, now=100.0)
+    context.verdict = verdict_with(crashes, at=100.0 - ago, now=100.0)
 
 
-@then("it may go to {count:d}, and comes back in {s:g} s if to none")
+@then("it may go to {count:d}, and is retried after {s:g} s if to none")
 def may_go(context, count, s):
     placement = context.placement
     avoid = placement.upstreams_to_avoid(context.verdict, MENUS, now=100.0)
@@ -191,42 +194,44 @@
     assert placement.steady_in_s(MENUS, now=100.0) == s
 
 
-def verdict_with(ends, *, at, now=None):
+def verdict_with(crashes, *, at, now=None):
     ledger = EndLedger()
-    for number in range(ends):
-        end = End(UpstreamId(f"u{number}"), at, number=1)
-        ledger.ended(FINGERPRINT, end)
+    for number in range(crashes):
+        crash = End(UpstreamId(f"u{number}"), at, number=1)
+        ledger.ended(FINGERPRINT, crash)
     return ledger.verdict(FINGERPRINT, now=at if now is None else now)
 
 
-@when("a request with {ends:d} ends waits for the one steady upstream, and {what}")
-def waits_for_steady(context, ends, what):
+@when(
+    "a request with {crashes:d} crashes waits for the one steady upstream, and {what}"
+)
+def waits_for_steady(context, crashes, what):
     placement = Placement(ZoneId("z"), rng=random.Random(1))
     steady, other = upstream("a"), upstream("b")
     placement.replace([steady], now=0.0)
     placement.replace([steady, other], now=100.0)
     placement.states[steady.id].online = steady.slots
     queue = AdmissionQueue(placement, rng=random.Random(1))
-    waiter = QueuedRequest(
+    request = QueuedRequest(
         service=MENUS,
         priority=0,
         on_time_by=105.0,
         serve_by=105.0,
-        verdict=verdict_with(ends, at=100.0),
+        verdict=verdict_with(crashes, at=100.0),
     )
-    queue.enter(waiter, now=100.0)
+    queue.enter(request, now=100.0)
     now = 100.1
     if what == "3 s pass":
         now = 103.0
-    elif what == "the steady one is gone":
+    elif what == "the steady one is unlisted":
         placement.replace([other], now=now)
     queue.dispatch(now=now, on_decided=lambda settled: None)
-    context.waiter = waiter
+    context.request = request
 
 
 @then("it is given {given}")
 def is_given(context, given):
-    outcome = context.waiter.outcome
+    outcome = context.request.outcome
     if given == "nothing so far":
         assert outcome is None, outcome
     else:
@@ -234,29 +239,29 @@
 
 
 @when(
-    "an item with {ends:d} end looks for a slot, {online:d} are left for online "
-    "requests, 8 are steady and 16 not"
+    "an item with {crashes:d} crash needs a slot, {online:d} are reserved for online "
+    "requests, 8 are at steady upstreams and 16 not"
 )
-def looks_for_slot(context, ends, online):
+def needs_slot(context, crashes, online):
     placement = Placement(ZoneId("z"), rng=random.Random(1))
     placement.replace([upstream("a")], now=0.0)
     placement.replace([upstream(name) for name in "abc"], now=100.0)
     placement._online_headroom = lambda service, now: online
-    verdict = verdict_with(ends, at=100.0)
+    verdict = verdict_with(crashes, at=100.0)
     ineligible = placement.upstreams_to_avoid(verdict, MENUS, now=100.0)
     context.chosen = placement.choose_batch(
         make_route(), reserve=0, avoid=(), now=100.0, ineligible=ineligible
     )
 
 
-@then("it gets a steady one")
+@then("it gets one at the steady upstream")
 def gets_steady(context):
     assert isinstance(context.chosen, UpstreamState), context.chosen
     assert context.chosen.id == "a", context.chosen
 
 
-class AcceptsAndCloses:
-    """What stands before an upstream that has ended, until it has started again."""
+class ClosingProxy:
+    """A proxy before a crashed upstream: it accepts connections and closes them."""
 
     def __init__(self):
         self.finding = Finding.NO_ANSWER
@@ -265,10 +270,10 @@
         return self.finding
 
 
-def play_ends(context, runs, *, proved, asked_at=106.0):
-    """Plays runs at three upstreams: who, when each began and how long it lasted."""
-    way = AcceptsAndCloses()
-    watch = EndWatch(way.ask)
+def play_crashes(context, attempts, *, proved, asked_at=106.0):
+    """Plays attempts at three upstreams: fingerprint, begin and duration of each."""
+    proxy = ClosingProxy()
+    watch = EndWatch(proxy.ask)
     placement = Placement(ZoneId("z"), rng=random.Random(1))
     placement.replace([upstream(name) for name in "abc"], now=0.0)
 
@@ -277,14 +282,14 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(watch.run)
             if proved == "at once":
-                way.finding = Finding.NOTHING_LISTENS
-            for who, began, lasted in runs:
+                proxy.finding = Finding.NOTHING_LISTENS
+            for fingerprint, began, lasted in attempts:
                 await trio.sleep_until(100.0 + began + lasted)
                 for state in placement.states.values():
-                    watch.broke_off(who, state, began=100.0 + began)
+                    watch.broke_off(fingerprint, state, began=100.0 + began)
             if proved != "not yet":
                 await trio.sleep(2.0)
-                way.finding = Finding.OTHER_LIFE
+                proxy.finding = Finding.OTHER_LIFE
             await trio.sleep_until(asked_at)
             context.verdict = watch.ledger.verdict(FINGERPRINT, now=asked_at)
             nursery.cancel_scope.cancel()
@@ -293,26 +298,29 @@
 
 
 @when(
-    "three upstreams end under others, and runs of a request begin there {began:g} s "
-    "later and break off after {lasted:g} s, proved {proved}"
+    "three upstreams crash under another request, and attempts of a request begin "
+    "there {began:g} s later and are interrupted after {lasted:g} s, proved {proved}"
 )
-def end_under_others(context, began, lasted, proved):
-    runs = [(OTHER, -1.0, 1.0), (FINGERPRINT, began, lasted)]
-    play_ends(context, runs, proved=proved)
+def crash_under_other(context, began, lasted, proved):
+    attempts = [(OTHER, -1.0, 1.0), (FINGERPRINT, began, lasted)]
+    play_crashes(context, attempts, proved=proved)
 
 
 @when(
-    "three upstreams end under others, and runs of a request begin there {began:g} s "
-    "later and break off after {lasted:g} s, and 1 s passes"
+    "three upstreams crash under another request, and attempts of a request begin "
+    "there {began:g} s later and are interrupted after {lasted:g} s, and 1 s passes"
 )
-def end_under_others_so_far(context, began, lasted):
-    runs = [(OTHER, -1.0, 1.0), (FINGERPRINT, began, lasted)]
-    play_ends(context, runs, proved="not yet", asked_at=101.5)
+def crash_under_other_unproved(context, began, lasted):
+    attempts = [(OTHER, -1.0, 1.0), (FINGERPRINT, began, lasted)]
+    play_crashes(context, attempts, proved="not yet", asked_at=101.5)
 
 
-@when("three upstreams end under a request after runs of {lasted:g} s, proved {proved}")
-def end_under(context, lasted, proved):
-    play_ends(context, [(FINGERPRINT, -lasted, lasted)], proved=proved)
+@when(
+    "three upstreams crash under a request after attempts of {lasted:g} s, "
+    "proved {proved}"
+)
+def crash_under(context, lasted, proved):
+    play_crashes(context, [(FINGERPRINT, -lasted, lasted)], proved=proved)
 
 
 @then("the request is {standing}")
@@ -321,18 +329,18 @@
 
 
 @when(
-    "one instance misses that a request with {ends:d} ends was answered, "
-    "and tells another of these"
+    "one instance misses that a request with {crashes:d} crashes was answered, "
+    "and reports them to a peer"
 )
-def misses_answer(context, ends):
-    one, other = EndWatch(Gone().report), EndWatch(Gone().report)
+def misses_answer(context, crashes):
+    one, other = EndWatch(NotListening().report), EndWatch(NotListening().report)
     other.on_news = lambda ends, cleared: one.take_news("other", ends, cleared)
 
     async def play():
-        for number in range(ends):
-            end = End(UpstreamId(f"u{number}"), trio.current_time(), number=1)
+        for number in range(crashes):
+            crash = End(UpstreamId(f"u{number}"), trio.current_time(), number=1)
             for watch in (one, other):
-                watch.ledger.ended(FINGERPRINT, end)
+                watch.ledger.ended(FINGERPRINT, crash)
         async with trio.open_nursery() as nursery:
             other.answered(FINGERPRINT)
             other._cleared.clear()
--- a/tests/features/upstreams_that_end.feature
+++ b/tests/features/upstreams_that_end.feature
@@ -17,70 +17,70 @@
       | all   | 1.5   | 16  |
       | one   | 0.4   | 16  |
 
-  Scenario Outline: An upstream that <has> is steady from <s> s on
-    When an upstream <has>
+  Scenario Outline: An upstream that <events> is steady from <s> s on
+    When an upstream <events>
     Then it is steady from <s> s on
 
-    Examples: one that ended soon after its start must outlive that by a half
-      | has                                                                | s    |
-      | is in the first list                                               | 0    |
-      | is in the first list and ends at 20                                | 22   |
-      | is listed at 10                                                    | 12   |
-      | is listed at 10 and ends at 20                                     | 22   |
-      | is listed at 10 and ends at 20 and is listed anew at 21            | 23   |
-      | is listed at 10 and ends at 20 and ends at 20.1                    | 22   |
-      | is listed at 10 and ends at 10.4                                   | 12.4 |
-      | is listed at 10 and ends at 10.4 and is listed anew at 11          | 13   |
-      | is listed at 10 and ends at 14 and is listed anew at 15            | 21   |
-      | is listed at 10 and ends at 15 and is listed anew at 16            | 23   |
-      | is listed at 10 and ends at 15.1 and is listed anew at 16          | 18   |
-      | is listed at 10 and ends at 20 and ends at 22                      | 25   |
-      | is listed at 10 and ends at 20 and ends at 22 and is listed anew at 23 | 26 |
-      | is listed at 10 and ends at 14 and is listed anew at 15 and ends at 15.4 | 21.4 |
-      | is listed at 10 and ends at 14 and is listed anew at 50            | 52   |
-      | is listed at 10 and ends at 20 and ends at 60                      | 62   |
-      | is listed at 10 and is listed anew at 14                           | 20   |
-      | is listed at 10 and ends at 30 and ends at 12                      | 32   |
-      | is listed at 10 and ends at 14 and lives after all, found at 15    | 12   |
-      | is listed at 10 and is gone at 14 and is listed at 15              | 21   |
-      | is listed at 10 and leaves at 13 and is gone at 14 and is listed at 15 | 17 |
-      | is in the first list and ends at 20 and ends at 22 and ends at 24  | 27   |
-
-  Scenario Outline: A run that <run> meets the end of an upstream that <lived>
-    When a run that <run> meets the end of an upstream that <lived>
-    Then the end counts <counts>, here and where it is told
-
-    Examples: what had just started may end by itself; what moves on comes to its end
-      | run                       | lived                   | counts |
-      | had just begun            | is in the first list    | whole  |
-      | made nothing for 2 s      | is in the first list    | whole  |
-      | made some for 0.1 s       | is in the first list    | whole  |
-      | made some for 2 s         | is in the first list    | half   |
-      | had just begun            | started 1 s ago         | whole  |
-      | had just begun            | started 1 s ago, as before | half |
-      | had just begun            | started 3 s ago         | whole  |
-      | had just begun            | started 3 s ago, as before | half |
-      | had just begun            | started 1 s ago, as another tells | whole |
-      | made nothing for 2 s      | ended 1 s ago, as another tells | whole |
-      | made some for 0.1 s, and nothing for 2 s | is in the first list | whole |
-
-  Scenario Outline: Where a request goes under which <ends> upstreams have ended
-    When of three upstreams <unsteady> have just started, and <ends> have ended under a request <ago> s ago
-    Then it may go to <open>, and comes back in <s> s if to none
-
-    Examples: it is not kept from upstreams that only ever live for a while
-      | ends | ago | unsteady | open | s |
-      | 0    | 1   | 0        | 3    | 0 |
-      | 0    | 1   | 3        | 3    | 2 |
-      | 1    | 1   | 1        | 2    | 0 |
-      | 1    | 1   | 3        | 3    | 2 |
-      | 2    | 1   | 2        | 1    | 0 |
-      | 2    | 1   | 3        | 0    | 2 |
-      | 2    | 9   | 2        | 1    | 0 |
-      | 2    | 9   | 3        | 3    | 2 |
-      | 3    | 1   | 3        | 0    | 2 |
-      | 3    | 63  | 3        | 0    | 2 |
-      | 3    | 69  | 3        | 3    | 2 |
+    Examples: after a short uptime, one and a half times that uptime is required
+      | events                                                                     | s    |
+      | is in the first list                                                       | 0    |
+      | is in the first list and crashes at 20                                     | 22   |
+      | is listed at 10                                                            | 12   |
+      | is listed at 10 and crashes at 20                                          | 22   |
+      | is listed at 10 and crashes at 20 and restarts at 21                       | 23   |
+      | is listed at 10 and crashes at 20 and crashes at 20.1                      | 22   |
+      | is listed at 10 and crashes at 10.4                                        | 12.4 |
+      | is listed at 10 and crashes at 10.4 and restarts at 11                     | 13   |
+      | is listed at 10 and crashes at 14 and restarts at 15                       | 21   |
+      | is listed at 10 and crashes at 15 and restarts at 16                       | 23   |
+      | is listed at 10 and crashes at 15.1 and restarts at 16                     | 18   |
+      | is listed at 10 and crashes at 20 and crashes at 22                        | 25   |
+      | is listed at 10 and crashes at 20 and crashes at 22 and restarts at 23     | 26   |
+      | is listed at 10 and crashes at 14 and restarts at 15 and crashes at 15.4   | 21.4 |
+      | is listed at 10 and crashes at 14 and restarts at 50                       | 52   |
+      | is listed at 10 and crashes at 20 and crashes at 60                        | 62   |
+      | is listed at 10 and restarts at 14                                         | 20   |
+      | is listed at 10 and crashes at 30 and crashes at 12                        | 32   |
+      | is listed at 10 and crashes at 14 and turns out not to have crashed at 15  | 12   |
+      | is listed at 10 and is unlisted at 14 and is listed at 15                  | 21   |
+      | is listed at 10 and drains at 13 and is unlisted at 14 and is listed at 15 | 17   |
+      | is in the first list and crashes at 20 and crashes at 22 and crashes at 24 | 27   |
+
+  Scenario Outline: An attempt that <attempt> is interrupted by the crash of an upstream that <past>
+    When an attempt that <attempt> is interrupted by the crash of an upstream that <past>
+    Then the crash counts <counts>, here and at a peer
+
+    Examples: a flapping upstream may crash by itself; a request that made progress may succeed
+      | attempt                                    | past                               | counts |
+      | had just begun                             | is in the first list               | whole  |
+      | made no progress for 2 s                   | is in the first list               | whole  |
+      | made progress for 0.1 s                    | is in the first list               | whole  |
+      | made progress for 2 s                      | is in the first list               | half   |
+      | had just begun                             | started 1 s ago                    | whole  |
+      | had just begun                             | started 1 s ago and flaps          | half   |
+      | had just begun                             | started 3 s ago                    | whole  |
+      | had just begun                             | started 3 s ago and flaps          | half   |
+      | had just begun                             | started 1 s ago, as a peer reports | whole  |
+      | made no progress for 2 s                   | crashed 1 s ago, as a peer reports | whole  |
+      | made progress for 0.1 s, then none for 2 s | is in the first list               | whole  |
+
+  Scenario Outline: Upstreams for a request under which <crashes> have crashed
+    When of three upstreams <unsteady> have just started, and <crashes> have crashed under a request <ago> s ago
+    Then it may go to <open>, and is retried after <s> s if to none
+
+    Examples: a fleet of flapping upstreams does not block it for good
+      | crashes | ago | unsteady | open | s |
+      | 0       | 1   | 0        | 3    | 0 |
+      | 0       | 1   | 3        | 3    | 2 |
+      | 1       | 1   | 1        | 2    | 0 |
+      | 1       | 1   | 3        | 3    | 2 |
+      | 2       | 1   | 2        | 1    | 0 |
+      | 2       | 1   | 3        | 0    | 2 |
+      | 2       | 9   | 2        | 1    | 0 |
+      | 2       | 9   | 3        | 3    | 2 |
+      | 3       | 1   | 3        | 0    | 2 |
+      | 3       | 63  | 3        | 0    | 2 |
+      | 3       | 69  | 3        | 3    | 2 |
 
   # Nobody came back to an item that was kept from running before its pause was over, though
   # what was held against it had been taken back meanwhile.
@@ -111,26 +111,25 @@
       | 1    | 4     | 7      |
       | 2    | 4     | 7      |
 
-  Scenario Outline: A request with <ends> ends waits for a slot, and <what>
-    When a request with <ends> ends waits for the one steady upstream, and <what>
+  Scenario Outline: A request with <crashes> crashes waits for a slot, and <what>
+    When a request with <crashes> crashes waits for the one steady upstream, and <what>
     Then it is given <given>
 
-    Examples: what was unsteady as it came may be steady since, and what was steady gone
-      | ends | what                              | given          |
-      | 1    | nothing happens                   | nothing so far |
-      | 1    | 3 s pass                          | the other      |
-      | 1    | the steady one is gone            | the other      |
-      | 2    | 3 s pass                          | the other      |
-
-  Scenario: Slots that online requests may take are not only those at steady upstreams
-    When an item with 1 end looks for a slot, 8 are left for online requests, 8 are steady and 16 not
-    Then it gets a steady one
-
-  # Seen in a soak: a proper request was refused for a minute by three ends, of upstreams that
-  # had ended half a second before it was sent. What stood before them took connections and
-  # closed them, so that nobody knew until they had started again.
-  Scenario Outline: A run that began <began> s after upstreams broke off, and lasted <lasted> s
-    When three upstreams end under others, and runs of a request begin there <began> s later and break off after <lasted> s, proved <proved>
+    Examples: upstreams become steady or leave while it waits
+      | crashes | what                       | given          |
+      | 1       | nothing happens            | nothing so far |
+      | 1       | 3 s pass                   | the other      |
+      | 1       | the steady one is unlisted | the other      |
+      | 2       | 3 s pass                   | the other      |
+
+  Scenario: Slots reserved for online requests are not only those at steady upstreams
+    When an item with 1 crash needs a slot, 8 are reserved for online requests, 8 are at steady upstreams and 16 not
+    Then it gets one at the steady upstream
+
+  # Guards against blaming a request for crashes from before its attempts, where a proxy
+  # before the crashed upstreams accepts connections and closes them.
+  Scenario Outline: An attempt that began <began> s after upstreams crashed, and lasted <lasted> s
+    When three upstreams crash under another request, and attempts of a request begin there <began> s later and are interrupted after <lasted> s, proved <proved>
     Then the request is <standing>
 
     Examples:
@@ -140,23 +139,23 @@
       | -0.1  | 0.1    | late    | quarantined |
       | -0.1  | 0.1    | at once | quarantined |
 
-  Scenario: A request whose runs broke off at three upstreams is held until it is known why
-    When three upstreams end under others, and runs of a request begin there 0.5 s later and break off after 0.01 s, and 1 s passes
+  Scenario: A request whose attempts were interrupted at three upstreams is held until probes tell why
+    When three upstreams crash under another request, and attempts of a request begin there 0.5 s later and are interrupted after 0.01 s, and 1 s passes
     Then the request is held
 
-  # At an instance that had no run there as they ended, its own are the first to break off.
-  Scenario Outline: A run that nobody's end came before, and lasted <lasted> s
-    When three upstreams end under a request after runs of <lasted> s, proved <proved>
+  # An instance without attempts there at the crash sees its own as the first interrupted.
+  Scenario Outline: An attempt without a known earlier crash, and lasted <lasted> s
+    When three upstreams crash under a request after attempts of <lasted> s, proved <proved>
     Then the request is <standing>
 
-    Examples: what takes a connection and closes it answers in milliseconds
+    Examples: a proxy closes a connection within milliseconds
       | lasted | proved  | standing    |
       | 0.01   | late    | free        |
       | 0.06   | late    | quarantined |
       | 0.01   | at once | quarantined |
 
-  # One instance alone refused a proper request for a minute, as the word that it had been
-  # answered elsewhere had not reached it: that is told once.
-  Scenario: The word that a request was answered is lost
-    When one instance misses that a request with 3 ends was answered, and tells another of these
+  # Guards against an instance that blocks a request although others have a response, since
+  # that message, sent once, was lost.
+  Scenario: The message that a request was answered is lost
+    When one instance misses that a request with 3 crashes was answered, and reports them to a peer
     Then it lets the request run within 1 s
