--- a/tests/harness/_job_play.py
+++ b/tests/harness/_job_play.py
@@ -250,7 +250,9 @@
                 ("renewal", self.watch._renew),
                 ("instances", self.watch._poll_instances),
             ):
-                nursery.start_soon(self.watch._forever, name, poll, lambda *a, **k: 1.0)
+                nursery.start_soon(
+                    self.watch._poll_forever, name, poll, lambda *a, **k: 1.0
+                )
             nursery.start_soon(self.worker.run)
 
 
