--- a/src/coppercleat/quarantine/_ledger.py
+++ b/src/coppercleat/quarantine/_ledger.py
@@ -150,13 +150,13 @@
         return max((crash.at for crash in self.crashes), default=float("-inf"))
 
     def find_reported(self, crash: Crash) -> Crash | None:
-        """Returns the recorded crash that a reported one repeats; None if it is new."""
+        """Returns the recorded duplicate of a reported crash; None if it is new."""
         return next(
             (known for known in self.crashes if crash.is_duplicate_report(known)), None
         )
 
     def find_observed(self, crash: Crash, *, attempt_began: float) -> Crash | None:
-        """Returns the recorded crash that an observed one repeats; None if new."""
+        """Returns the recorded duplicate of an observed crash; None if it is new."""
         duplicates = (
             known
             for known in self.crashes
@@ -179,7 +179,7 @@
 
 
 class CrashHistory:
-    """Crashes by request; all times are seconds on one clock of the caller."""
+    """Crashes by request; all times are in seconds on one clock of the caller."""
 
     def __init__(self) -> None:
         self._records: dict[Fingerprint, _Record] = {}
@@ -210,7 +210,7 @@
     def identify_crash(
         self, fingerprint: Fingerprint, crash: Crash, *, attempt_began: float
     ) -> Crash:
-        """Returns the recorded crash that an observed one repeats, or it with a number.
+        """Returns the recorded duplicate of a crash, or the crash with a number.
 
         Args:
           fingerprint: The request.
@@ -274,7 +274,7 @@
         return True
 
     def was_cleared(self, fingerprint: Fingerprint, crash: Crash) -> bool:
-        """Returns whether an answer voided a crash, with no new evidence since."""
+        """Returns whether a response voided a crash, with no new evidence since."""
         if (
             fingerprint in self._records
             or (fingerprint, None) not in self._voided_until
@@ -409,7 +409,7 @@
         return record
 
     def _is_voided(self, fingerprint: Fingerprint, crash: Crash) -> bool:
-        """Returns whether a crash is older than an answer or a retraction."""
+        """Returns whether a crash is older than a response or a retraction."""
         keys = (fingerprint, crash.upstream), (fingerprint, None)
         return crash.at <= max(
             self._voided_until.get(key, float("-inf")) for key in keys
--- a/tests/features/steps/quarantine_decision_steps.py
+++ b/tests/features/steps/quarantine_decision_steps.py
@@ -138,7 +138,7 @@
     detector.apply_update("peer", (CrashReport(OTHER, state.id, 0.01),), ())
 
 
-AFTERWARDS = {
+FOLLOW_UPS = {
     "is listed with another start time": lambda detector, state, placement: (
         placement.replace([upstream(BORN + 5000)])
     ),
@@ -209,8 +209,8 @@
                 detector.record_interruption(
                     FINGERPRINT, state, stalled=fails == "stalls"
                 )
-            if does in AFTERWARDS:
-                AFTERWARDS[does](detector, state, placement)
+            if does in FOLLOW_UPS:
+                FOLLOW_UPS[does](detector, state, placement)
             if does.endswith("reports twice"):
                 await trio.sleep(0.7)
                 report_from_peer(detector, state, placement)
--- a/tests/features/steps/quarantine_steps.py
+++ b/tests/features/steps/quarantine_steps.py
@@ -44,18 +44,18 @@
         self.sent += 1
         name = f"deadly-{self.sent}"
         began = time.monotonic()
-        answer = None
+        response = None
         with contextlib.suppress(*NETWORK):
-            answer = await self.fleet.ask(gateway, ROUTES[route], name, body=DEADLY)
-        self.deadly.append((name, answer, time.monotonic() - began))
+            response = await self.fleet.ask(gateway, ROUTES[route], name, body=DEADLY)
+        self.deadly.append((name, response, time.monotonic() - began))
 
     async def send_other(self, number):
         sent_at = time.monotonic()
         gateway = self.fleet.names[number % len(self.fleet.names)]
         succeeded = False
         with contextlib.suppress(*NETWORK):
-            answer = await self.fleet.ask(gateway, PLAIN, f"proper-{number}")
-            succeeded = answer.status == 200 and answer.whole
+            response = await self.fleet.ask(gateway, PLAIN, f"proper-{number}")
+            succeeded = response.status == 200 and response.whole
         self.others.append((sent_at, succeeded))
 
     async def send_all(self, route, *, times, at_once):
@@ -195,12 +195,12 @@
 def last_responses(context, status, s, run):
     clients = clients_of(context)
     started = {ran["id"] for ran in context.fleet.run(context.fleet.runs)}
-    for name, answer, took_s in clients.deadly[-LAST:]:
-        assert answer is not None and answer.status == status, (name, answer)
+    for name, response, took_s in clients.deadly[-LAST:]:
+        assert response is not None and response.status == status, (name, response)
         assert took_s <= s, (name, took_s)
         assert (name in started) == (run == "run"), name
         if status == 503:
-            assert float(answer.headers["retry-after"]) > 0, answer
+            assert float(response.headers["retry-after"]) > 0, response
 
 
 @then("no other request sent more than {s:g} s after the third crash has failed")
@@ -218,8 +218,8 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(clients.restart_runners, knobs)
             items = [DEADLY, *(f"item {number}" for number in range(1, count))]
-            answer = await context.fleet.submit("gateway-1", "job-1", items)
-            assert answer.status == 202, answer
+            response = await context.fleet.submit("gateway-1", "job-1", items)
+            assert response.status == 202, response
             await trio.sleep(s)
             nursery.cancel_scope.cancel()
         return await context.fleet.results("gateway-2", "job-1")
@@ -250,9 +250,9 @@
 
 
 async def send_deadly_inference(context, entry):
-    asked = {"deployment": "menus", "prompt": DEADLY}
+    fields = {"deployment": "menus", "prompt": DEADLY}
     try:
-        await context.fleet.call(entry, "OnlineService", "Infer", **asked)
+        await context.fleet.call(entry, "OnlineService", "Infer", **fields)
     except RpcError as error:
         return error
     return None
@@ -276,9 +276,9 @@
 @then("another inference is answered")
 def other_inference(context):
     async def ask():
-        asked = {"deployment": "menus", "prompt": "a proper one"}
+        fields = {"deployment": "menus", "prompt": "a proper one"}
         entry = next(iter(context.fleet.entries))
-        return await context.fleet.call(entry, "OnlineService", "Infer", **asked)
+        return await context.fleet.call(entry, "OnlineService", "Infer", **fields)
 
     assert context.fleet.run(ask)["text"]
 
@@ -302,8 +302,8 @@
 
 @when('"quarantine" at gateway {number:d} clears it')
 def clears_request(context, number):
-    answer = run_quarantine(context, number, f"--clear={context.fingerprint}")
-    assert answer == {"cleared": True}, answer
+    response = run_quarantine(context, number, f"--clear={context.fingerprint}")
+    assert response == {"cleared": True}, response
     time.sleep(0.2)
 
 
