--- a/src/coppercleat/serving/__init__.py
+++ b/src/coppercleat/serving/__init__.py
@@ -1,4 +1,4 @@
-"""Serves requests that are passed on unchanged, over one fleet of upstreams."""
+"""Forwards online requests to a fleet of upstreams: admission, placement, failover."""
 
 from coppercleat.serving._admission import Admission
 from coppercleat.serving._admission_queue import (
--- a/src/coppercleat/serving/_forwarding.py
+++ b/src/coppercleat/serving/_forwarding.py
@@ -103,7 +103,7 @@
           admission: Assigns slots to requests.
           caller: Sends requests to upstreams.
           on_end: Called with the summary of each request.
-          abandoned_attempts: Records abandoned runs; None for a new one.
+          abandoned_attempts: Records abandoned attempts; None for a new one.
           end_watch: Detects requests under which upstreams crash; None for a new one.
         """
         self.admission = admission
@@ -201,7 +201,7 @@
         """Returns the request's entry for the admission queue."""
         route = exchange.route
         service = self.placement.draw_service(route.targets)
-        if not exchange.progress.tries:
+        if not exchange.progress.attempts:
             self.placement.demand.of(service).arrived(now=exchange.arrived_at)
         times = self.placement.demand.times(route.name)
         # A stream has a target for its first event and one for each gap after it.
@@ -248,7 +248,7 @@
             exchange.progress.next_step(AttemptOutcome.COMPLETE)
             self._record_outcome(exchange, state, attempt, AttemptOutcome.COMPLETE)
         elif attempt.state is not AttemptState.QUEUED:
-            exchange.progress.runs += 1
+            exchange.progress.possible_runs += 1
             if attempt.state is AttemptState.SENT:
                 self._record_abandoned_attempt(exchange, state, stalled=False)
                 self.end_watch.left(exchange.request.fingerprint, state)
@@ -408,7 +408,7 @@
             RequestSummary(
                 route=exchange.route.name,
                 outcome=step.value,
-                tries=exchange.progress.tries + 1,
+                tries=exchange.progress.attempts + 1,
                 waited_s=exchange.waited_s,
                 first_s=first_s if exchange.first_byte_at else None,
                 total_s=now - exchange.arrived_at,
@@ -424,8 +424,8 @@
             route=exchange.route.name,
             outcome=step.value,
             upstream=exchange.upstream,
-            tries=exchange.progress.tries,
-            runs=exchange.progress.runs,
+            tries=exchange.progress.attempts,
+            runs=exchange.progress.possible_runs,
             status=exchange.status,
             load=exchange.load,
             tellers=exchange.tellers,
--- a/src/coppercleat/serving/_progress.py
+++ b/src/coppercleat/serving/_progress.py
@@ -50,7 +50,7 @@
     ALL = "all"
 
 
-MAX_TRIES = 6
+MAX_ATTEMPTS = 6
 """Attempts per request, including those that the upstream did not run; bounds the time
 that a request spends on full or unreachable upstreams."""
 
@@ -61,15 +61,15 @@
 
     Attributes:
       route: The request's route, which limits retries and resumption.
-      tries: Finished attempts.
-      runs: Attempts in which the upstream may have run the request.
+      attempts: Finished attempts.
+      possible_runs: Attempts in which the upstream may have run the request.
       last_event: Number of the last forwarded event; None if there is none.
       forwarded: How much of the response has been forwarded.
     """
 
     route: Route
-    tries: int = 0
-    runs: int = 0
+    attempts: int = 0
+    possible_runs: int = 0
     last_event: int | None = None
     forwarded: ForwardedPart = ForwardedPart.NOTHING
 
@@ -86,7 +86,7 @@
     @property
     def may_have_run(self) -> bool:
         """Whether any upstream may have run the request."""
-        return self.runs > 0
+        return self.possible_runs > 0
 
     @property
     def may_fail_over(self) -> bool:
@@ -95,7 +95,10 @@
 
     @property
     def _attempts_left(self) -> bool:
-        return self.runs + 1 < self.route.max_attempts and self.tries < MAX_TRIES
+        return (
+            self.possible_runs + 1 < self.route.max_attempts
+            and self.attempts < MAX_ATTEMPTS
+        )
 
     def record_forwarded(self, events: list[StreamEvent]) -> None:
         """Records events that are about to be forwarded."""
@@ -108,10 +111,10 @@
 
     def next_step(self, outcome: AttemptOutcome) -> NextStep:
         """Records the outcome of an attempt and returns the next step."""
-        self.tries += 1
+        self.attempts += 1
         failover_allowed = self.may_fail_over
         if outcome is not AttemptOutcome.NOT_RUN:
-            self.runs += 1
+            self.possible_runs += 1
         return _NEXT_STEP[outcome](self, failover_allowed)
 
     def give_up(self) -> NextStep:
@@ -132,7 +135,7 @@
 
 
 def _after_not_run(progress: RequestProgress, failover_allowed: bool) -> NextStep:
-    if progress.tries >= MAX_TRIES:
+    if progress.attempts >= MAX_ATTEMPTS:
         return progress.give_up()
     return NextStep.RESUME_ELSEWHERE if progress.started else NextStep.TRY_ELSEWHERE
 
--- a/tests/features/steps/silence_steps.py
+++ b/tests/features/steps/silence_steps.py
@@ -1,4 +1,4 @@
-"""Steps for requests whose upstream is silent, with the clock of the test."""
+"""Steps for requests at stalled upstreams, with a mock clock."""
 
 import contextlib
 import random
@@ -37,8 +37,8 @@
 )
 
 
-class SilentFirst:
-    """A caller whose first upstream sends nothing for a while."""
+class FirstUpstreamStalls:
+    """A caller whose first attempt receives nothing for a while."""
 
     def __init__(self, silent_s):
         self.silent_s = silent_s
@@ -59,8 +59,8 @@
         )
 
 
-class Kept:
-    """A reply that keeps what it gets."""
+class RecordingReply:
+    """A reply that records the body."""
 
     def __init__(self):
         self.body = b""
@@ -82,7 +82,7 @@
 
 
 @when("the first of 2 upstreams is silent for {silent:g} s and {free:d} slots are open")
-def silent_upstream(context, silent, free):
+def first_upstream_stalls(context, silent, free):
     placement = Placement(ZoneId("a"), rng=random.Random(1))
     placement.replace(
         Upstream(
@@ -95,7 +95,7 @@
         for name in ("x", "y")
     )
     placement.states[UpstreamId("y")].online = 1
-    caller, reply = SilentFirst(silent), Kept()
+    caller, reply = FirstUpstreamStalls(silent), RecordingReply()
 
     async def run():
         admission = Admission(
@@ -128,14 +128,14 @@
 
 
 @then("the answer is whole, from {upstreams}")
-def whole_answer(context, upstreams):
+def response_is_complete(context, upstreams):
     assert context.body == b"id: 1\ndata: a\n\n", context.body
     assert context.step.value == "done", context.step
     assert " ".join(context.asked) == upstreams, context.asked
 
 
-class SilentForEver:
-    """A caller to whom no upstream ever says anything."""
+class AllUpstreamsStall:
+    """A caller whose attempts never receive anything."""
 
     @contextlib.asynccontextmanager
     async def exchange(self, upstream, request, **options):
@@ -145,7 +145,7 @@
 
 
 @when("{runs:d} runs at each of {upstreams:d} upstreams fall silent {when_they_do}")
-def fall_silent(context, runs, upstreams, when_they_do):
+def attempts_stall(context, runs, upstreams, when_they_do):
     apart_s = {"one by one": 0.16, "in turn": 0.04}.get(when_they_do, 0.0)
     context.placement = Placement(ZoneId("a"), rng=random.Random(1))
     context.placement.replace(
@@ -159,7 +159,7 @@
         for number in range(upstreams)
     )
     context.ended_at = trio.run(
-        _fall_silent,
+        _stall_attempts,
         context.placement,
         runs * upstreams,
         apart_s,
@@ -167,14 +167,14 @@
     )
 
 
-async def _fall_silent(placement, runs, apart_s):
-    """Returns when the last run ended."""
+async def _stall_attempts(placement, runs, apart_s):
+    """Returns when the last attempt ended."""
     admission = Admission(
         AdmissionQueue(placement, rng=random.Random(1)),
         on_change=lambda state, started: None,
         on_waiting=lambda: None,
     )
-    forwarder = Forwarder(admission, SilentForEver(), on_end=lambda end: None)
+    forwarder = Forwarder(admission, AllUpstreamsStall(), on_end=lambda end: None)
     route = msgspec.structs.replace(ROUTE, resumable=False, max_attempts=1)
 
     async with trio.open_nursery() as nursery:
@@ -187,13 +187,13 @@
                 headers=[],
                 allowed_s=2.0,
             )
-            nursery.start_soon(forwarder.forward, request, route, Kept())
+            nursery.start_soon(forwarder.forward, request, route, RecordingReply())
             await trio.sleep(apart_s)
     return trio.current_time()
 
 
 @then("{ejected:d} of the upstreams are ejected and {suspect:d} seem to fail")
-def few_ejected(context, ejected, suspect):
+def count_ejected(context, ejected, suspect):
     now = context.ended_at
     states = context.placement.states.values()
     assert sum(state.health.retry_in(now) > 0 for state in states) == ejected
