--- a/src/coppercleat/serving/_events.py
+++ b/src/coppercleat/serving/_events.py
@@ -31,12 +31,12 @@
     """Incremental parser of an event stream."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._remainder = b""
 
     @property
     def remainder(self) -> bytes:
         """Bytes after the last complete event."""
-        return self._rest
+        return self._remainder
 
     def feed(self, data: bytes) -> list[StreamEvent]:
         """Parses a chunk and returns the events that it completes.
@@ -44,14 +44,14 @@
         Raises:
           UpstreamCallError: An event is too long.
         """
-        buffer = self._rest + data
+        buffer = self._remainder + data
         events = []
         start = 0
         for blank in _BLANK_LINE.finditer(buffer):
             events.append(_parse(buffer[start : blank.end()]))
             start = blank.end()
-        self._rest = buffer[start:]
-        if len(self._rest) > _MAX_EVENT_BYTES:
+        self._remainder = buffer[start:]
+        if len(self._remainder) > _MAX_EVENT_BYTES:
             raise UpstreamCallError(f"an event exceeds {_MAX_EVENT_BYTES} bytes")
         return events
 
