--- a/src/coppercleat/jobs/_items.py
+++ b/src/coppercleat/jobs/_items.py
@@ -47,10 +47,10 @@
 interval between events and time to first event."""
 
 _RETRY_DELAY_S = 0.1
-"""Delay before an item runs again, so that a faulty upstream is not flooded."""
+"""Delay before an item's next attempt, so that a faulty upstream is not flooded."""
 
 _REFUSAL_AVOID_S = 0.3
-"""How long an upstream that refused an item gets no other."""
+"""How long an upstream that refused an item gets no further items from here."""
 
 _UNPROCESSABLE = 422
 _FAILED = 500
@@ -256,11 +256,11 @@
         attempt = Attempt()
         outcome = ItemAttemptOutcome.YIELDED
         running.began_at = running.heard_at = trio.current_time()
-        before = len(item.events)
+        events_before = len(item.events)
         with self._slot_released(running), running.scope:
             outcome = await self._attempt(running, attempt)
         self._estimator.observe_attempt(
-            events=len(item.events) - before,
+            events=len(item.events) - events_before,
             seconds=trio.current_time() - running.began_at,
         )
         self._record_crash_evidence(running, attempt, outcome)
@@ -445,7 +445,7 @@
                 item.media_type = media_type
                 running.heard_at = trio.current_time()
         if not in_order:
-            raise UpstreamBrokeError("event numbers are not consecutive")
+            raise UpstreamBrokeError("an event number is missing or not consecutive")
     if incomplete := why_incomplete(
         splitter, sequence, framed=answer.framed, may_move=True
     ):
--- a/src/coppercleat/jobs/_pace.py
+++ b/src/coppercleat/jobs/_pace.py
@@ -1,4 +1,4 @@
-"""Estimates the remaining run time of items from earlier items."""
+"""Estimates the remaining duration of items from earlier attempts."""
 
 from __future__ import annotations
 
--- a/src/coppercleat/jobs/_run.py
+++ b/src/coppercleat/jobs/_run.py
@@ -49,8 +49,8 @@
 
     def differs_from(self, verdict: Verdict) -> bool:
         """Returns whether a verdict differs in kind or in the number of crashes."""
-        before = (self.verdict.standing, self.verdict.ends)
-        return (verdict.standing, verdict.ends) != before
+        current = (self.verdict.standing, self.verdict.ends)
+        return (verdict.standing, verdict.ends) != current
 
 
 @attrs.define(eq=False, kw_only=True)
--- a/src/coppercleat/jobs/_starter.py
+++ b/src/coppercleat/jobs/_starter.py
@@ -22,7 +22,7 @@
 accepted the job and of its owner may differ by seconds."""
 
 _SLOT_POLL_S = 0.02
-"""Poll interval for free slots while items wait. The end of a local run wakes the
+"""Poll interval for free slots while items wait. The end of a local attempt wakes the
 starter at once; slots freed by other instances are seen only by polling."""
 
 _IDLE_POLL_S = 0.2
