--- a/tests/features/steps/online_steps.py
+++ b/tests/features/steps/online_steps.py
@@ -1,4 +1,4 @@
-"""Steps that make online requests and check their answers."""
+"""Steps that make online requests and check their responses."""
 
 import base64
 import json
@@ -39,7 +39,7 @@
 
 
 @then("each is answered whole with its own answer")
-def all_whole(context):
+def all_answered(context):
     for outcome in context.outcomes:
         assert outcome.error is None, f"{outcome.error.kind}: {outcome.error}"
         assert outcome.text == expected_text(outcome.prompt, context.tokens), (
@@ -55,14 +55,14 @@
         assert found.error.outcome == outcome, found.error.outcome
 
 
-@then("each refusal says when to come back")
-def says_when(context):
+@then("each refusal has a retry delay")
+def has_retry_delay(context):
     for found in context.outcomes:
         assert found.error.info.get("retryAfterMs", 0) > 0, found.error.info
 
 
-@then("no engine has run anything")
-def nothing_ran(context):
+@then("no engine has run a request")
+def no_engine_ran(context):
     assert context.fleet.run(context.fleet.executions) == []
 
 
@@ -73,8 +73,8 @@
     assert len(requests) == len(set(requests)) <= len(context.outcomes), ran
 
 
-@then("engine {number:d} runs nothing new of {count:d} further requests")
-def runs_nothing_new(context, number, count):
+@then("engine {number:d} runs none of {count:d} more requests at each entry")
+def runs_none(context, number, count):
     name = engines(context)[number - 1]
 
     async def read():
@@ -89,11 +89,11 @@
     assert context.fleet.run(read) == before
 
 
-@then("every entry sees engine {number:d} as {state}")
-def sees_engine(context, number, state):
+@then("every entry reports engine {number:d} as {state}")
+def entries_report_engine(context, number, state):
     name = engines(context)[number - 1]
 
-    async def all_see():
+    async def all_report():
         for instance in context.fleet.entries:
             status = await context.fleet.status(instance)
             states = {u["upstream"]: u["state"] for u in status["upstreams"]}
@@ -101,16 +101,16 @@
                 return False
         return True
 
-    context.fleet.run(lambda: until(f"{name} is {state}", all_see))
+    context.fleet.run(lambda: until(f"{name} is {state}", all_report))
 
 
-# Requests in the background of something else.
+# Requests made while something else happens.
 
 
 @when(
     "{count:d} requests of {tokens:d} tokens run at entry {number:d} while it is {done}"
 )
-def run_while(context, count, tokens, number, done):
+def run_during(context, count, tokens, number, done):
     context.tokens = tokens
     context.outcomes = [Outcome(f"long answer {index}") for index in range(count)]
 
@@ -121,32 +121,32 @@
         ):
             for outcome in context.outcomes:
                 nursery.start_soon(lambda o=outcome: o.infer(client, maxTokens=tokens))
-            await until(f"{count} run", lambda: _running(context, count))
+            await until(f"{count} run", lambda: _are_running(context, count))
             act_on_entry(context, number, done)
 
     context.fleet.run(run)
 
 
-async def _running(context, count):
+async def _are_running(context, count):
     total = 0
     for name in engines(context):
         total += (await context.fleet.control(name))["running"]
     return total >= count
 
 
-@when("a caller at entry {number:d} goes away in the middle of its answer")
-def caller_goes(context, number):
+@when("a client of entry {number:d} disconnects in the middle of its response")
+def client_disconnects(context, number):
     async def run():
         async with context.fleet.client(entry(context, number)) as client:
             body = {"deployment": "menus", "prompt": "left alone", "maxTokens": 5000}
             async for _ in client.stream("OnlineService", "InferStream", [body]):
                 break
-        await until("nothing runs", lambda: _idle(context))
+        await until("nothing runs", lambda: _are_idle(context))
 
     context.fleet.run(run)
 
 
-async def _idle(context):
+async def _are_idle(context):
     for name in engines(context):
         report = await context.fleet.control(name)
         if report["running"] or report["waiting"]:
@@ -154,8 +154,8 @@
     return True
 
 
-@when("a slow reader takes nothing of {count:d} long answers")
-def slow_reader(context, count):
+@when("a slow client reads nothing of {count:d} long responses")
+def slow_client(context, count):
     host, _, port = context.fleet.address(entry(context, 1)).rpartition(":")
     body = json.dumps({"deployment": "menus", "prompt": "slow", "maxTokens": 20000})
     envelope = b"\0" + len(body).to_bytes(4, "big") + body.encode()
@@ -187,7 +187,6 @@
 
 
 def send_check(context, number, body, **options):
-
     outcome = Outcome(body)
     encoded = base64.b64encode(body.encode()).decode()
 
@@ -236,7 +235,6 @@
     " and it is killed"
 )
 def check_and_kill(context, body, key, number):
-
     outcome = Outcome(body)
 
     async def run():
@@ -265,7 +263,7 @@
     assert outcome.error is not None
 
 
-@when("the list shows engine {number:d} as {state}")
+@when("the node list shows engine {number:d} as {state}")
 def list_shows(context, number, state):
     name = engines(context)[number - 1].replace("-", "_")
     context.fleet.run(lambda: context.fleet.publish(**{name: state}))
