--- a/src/coppercleat/limits/_admission.py
+++ b/src/coppercleat/limits/_admission.py
@@ -5,8 +5,10 @@
 import msgspec
 
 _DEADLINE_TOLERANCE = 1.2
-_MAX_RETRY_S = 30.0
-_MIN_RETRY_S = 0.05
+"""Factor by which the estimated duration may exceed the time left."""
+
+_MAX_RETRY_DELAY_S = 30.0
+_MIN_RETRY_DELAY_S = 0.05
 
 
 class AdmissionRequest(msgspec.Struct, frozen=True, kw_only=True):
@@ -60,15 +62,15 @@
           inter_token_s: Expected time between tokens in seconds, 0 if unknown.
         """
         if self.in_flight >= self.max_in_flight:
-            return Refusal("this instance is full", _MIN_RETRY_S)
+            return Refusal("this instance is full", _MIN_RETRY_DELAY_S)
         total_s = first_token_s + inter_token_s * max(0, request.tokens - 1)
         if request.remaining_s <= 0:
             return Refusal("the deadline has passed", 0.0)
         if total_s <= request.remaining_s * _DEADLINE_TOLERANCE:
             return Admitted()
         late_by_s = total_s - request.remaining_s
-        retry_s = min(_MAX_RETRY_S, max(_MIN_RETRY_S, late_by_s))
+        retry_delay_s = min(_MAX_RETRY_DELAY_S, max(_MIN_RETRY_DELAY_S, late_by_s))
         return Refusal(
             f"it would take {total_s:.1f} s of the {request.remaining_s:.1f} s allowed",
-            retry_s,
+            retry_delay_s,
         )
--- a/src/coppercleat/limits/_retries.py
+++ b/src/coppercleat/limits/_retries.py
@@ -26,7 +26,7 @@
 
     def record_first_attempt(self) -> None:
         """Counts a first attempt."""
-        self._bucket.give(self.ratio)
+        self._bucket.add(self.ratio)
 
     def grant(self, now: float) -> bool:
         """Returns whether a retry may be made; if so, counts it."""
--- a/src/coppercleat/limits/_tenants.py
+++ b/src/coppercleat/limits/_tenants.py
@@ -15,8 +15,10 @@
 from coppercleat.limits._token_bucket import TokenBucket
 
 SHARE_SLACK = 1.25
-_BURST_S = 2.0
-_CONCURRENCY_RETRY_S = 0.2
+_BURST_WINDOW_S = 2.0
+"""Seconds of the permitted rate that a tenant may use in one burst."""
+
+_CONCURRENCY_RETRY_DELAY_S = 0.2
 
 
 @attrs.define(kw_only=True)
@@ -60,10 +62,12 @@
         if limits.concurrency and usage.in_flight >= max(
             1.0, limits.concurrency * share
         ):
-            return Refusal("the tenant's concurrency is used up", _CONCURRENCY_RETRY_S)
-        wait = self._take_token(usage, limits.rate * share, now)
-        if wait > 0:
-            return Refusal("the tenant's rate is used up", wait)
+            return Refusal(
+                "the tenant's concurrency is used up", _CONCURRENCY_RETRY_DELAY_S
+            )
+        retry_delay_s = self._take_token(usage, limits.rate * share, now)
+        if retry_delay_s > 0:
+            return Refusal("the tenant's rate is used up", retry_delay_s)
         usage.in_flight += 1
         return Admitted()
 
@@ -79,7 +83,7 @@
         if rate <= 0:
             usage.bucket = None
             return 0.0
-        burst = max(1.0, rate * _BURST_S)
+        burst = max(1.0, rate * _BURST_WINDOW_S)
         if usage.bucket is None:
             usage.bucket = TokenBucket(rate=rate, burst=burst, now=now)
         usage.bucket.rate = rate
--- a/src/coppercleat/limits/_token_bucket.py
+++ b/src/coppercleat/limits/_token_bucket.py
@@ -37,7 +37,7 @@
             return float("inf")
         return (count - self._tokens) / self.rate
 
-    def give(self, count: float) -> None:
+    def add(self, count: float) -> None:
         """Adds tokens besides those added over time, up to the burst."""
         self._tokens = min(self.burst, self._tokens + count)
 
--- a/src/coppercleat/online/_filters.py
+++ b/src/coppercleat/online/_filters.py
@@ -34,6 +34,8 @@
 from coppercleat.routing import UpstreamRecord
 
 ANONYMOUS = TenantId("anonymous")
+"""Tenant of all requests while no tenants are configured."""
+
 _MAX_KEY_CHARS = 200
 _MAX_TOKENS = 100_000
 
--- a/src/coppercleat/online/_services.py
+++ b/src/coppercleat/online/_services.py
@@ -45,7 +45,7 @@
       online_changed: Called when the number of online requests in flight on an
         upstream has changed.
       batch_active: Returns whether any batch job is open.
-      end_watch: Decides whether requests have crashed upstreams.
+      end_watch: Detects crashes of upstreams and quarantines their requests.
       stall_s: Seconds without a token after which an engine counts as stalled.
     """
 
--- a/src/coppercleat/routing/_choose.py
+++ b/src/coppercleat/routing/_choose.py
@@ -133,8 +133,10 @@
         return NoUpstream(f"all upstreams of {request.service} leave or failed", 1.0)
     healthy = [r for r in loaded if r.breaker.allows_request(now)]
     if not healthy:
-        wait = min(r.breaker.retry_after_s(now) for r in loaded)
-        return NoUpstream(f"all upstreams of {request.service} are ejected", wait)
+        retry_after_s = min(r.breaker.retry_after_s(now) for r in loaded)
+        return NoUpstream(
+            f"all upstreams of {request.service} are ejected", retry_after_s
+        )
     return _lowest_cost(request, healthy, zone=zone, now=now, rng=rng)
 
 
--- a/src/coppercleat/routing/_table.py
+++ b/src/coppercleat/routing/_table.py
@@ -54,7 +54,7 @@
 
     @property
     def id(self) -> UpstreamId:
-        """Same as ``upstream``; for ``quarantine.Watched``."""
+        """Same as ``upstream``, under the name that the crash detector reads."""
         return UpstreamId(self.node.id)
 
     @property
