--- a/src/coppercleat/batch/_acceptance.py
+++ b/src/coppercleat/batch/_acceptance.py
@@ -13,13 +13,13 @@
 from coppercleat.batch._jobs import divide
 from coppercleat.batch._reading import JobReader
 from coppercleat.batch._rows import (
-    INPUT_OBJECT_ITEMS,
+    ITEMS_PER_INPUT_OBJECT,
+    IdempotencyKeyRow,
     JobRow,
-    KeyRow,
-    input_object,
+    idempotency_row_key,
+    input_object_name,
     job_key,
     open_key,
-    submitter_key,
 )
 from coppercleat.errors import (
     ConflictError,
@@ -39,7 +39,7 @@
     decode_row,
 )
 
-_ATTEMPTS = 4
+_MAX_TRANSACTION_ATTEMPTS = 4
 """Transactions whose answers may be lost before a submitter is told so."""
 
 _log = part_logger("batch")
@@ -158,8 +158,8 @@
         stored: _StoredInput,
     ) -> None:
         """Stores the input in parts, and counts and hashes it."""
-        asked = [submission.deployment, submission.due_at, submission.max_tokens]
-        stored.digest.update(msgspec.json.encode(asked))
+        parameters = [submission.deployment, submission.due_at, submission.max_tokens]
+        stored.digest.update(msgspec.json.encode(parameters))
         buffer: list[Item] = []
         async for more in items:
             buffer += more
@@ -169,9 +169,9 @@
                     f"The job has more than {max_items} items",
                     remedy="Divide it into several jobs.",
                 )
-            while len(buffer) >= INPUT_OBJECT_ITEMS:
-                await self._put_input(job, buffer[:INPUT_OBJECT_ITEMS], stored)
-                buffer = buffer[INPUT_OBJECT_ITEMS:]
+            while len(buffer) >= ITEMS_PER_INPUT_OBJECT:
+                await self._put_input(job, buffer[:ITEMS_PER_INPUT_OBJECT], stored)
+                buffer = buffer[ITEMS_PER_INPUT_OBJECT:]
         if buffer:
             await self._put_input(job, buffer, stored)
         if not stored.items:
@@ -185,18 +185,18 @@
         body = msgspec.json.encode(items)
         stored.digest.update(body)
         stored.parts += 1
-        await self.platform.put_object(input_object(job, stored.parts - 1), body)
+        await self.platform.put_object(input_object_name(job, stored.parts - 1), body)
 
     async def _discard_input(self, job: JobId, parts: int) -> None:
         """Removes input that belongs to no job; what fails is collected later."""
         try:
             for part in range(parts):
-                await self.platform.delete_object(input_object(job, part))
+                await self.platform.delete_object(input_object_name(job, part))
         except (PlatformUnavailableError, AnswerLostError) as error:
             _log.info("Input of no job stays.", job=job, reason=str(error))
 
     async def _accept(self, row: JobRow) -> Submitted:
-        key = submitter_key(row.tenant, row.job_key)
+        key = idempotency_row_key(row.tenant, row.job_key)
         puts = [
             Put(job_key(row.job), msgspec.json.encode(row)),
             Put(open_key(row.job), b"{}"),
@@ -205,14 +205,17 @@
         if row.job_key:
             checks.append(Check(key, ABSENT))
             puts.append(
-                Put(key, msgspec.json.encode(KeyRow(row.job, row.content_hash)))
+                Put(
+                    key,
+                    msgspec.json.encode(IdempotencyKeyRow(row.job, row.content_hash)),
+                )
             )
         else:
             checks.append(Check(job_key(row.job), ABSENT))
-        for _ in range(_ATTEMPTS):
-            earlier = await self._find_earlier(row, key)
-            if earlier is not None:
-                return earlier
+        for _ in range(_MAX_TRANSACTION_ATTEMPTS):
+            existing = await self._find_existing(row, key)
+            if existing is not None:
+                return existing
             try:
                 result = await self.platform.transact(
                     Transaction(checks=checks, puts=puts)
@@ -223,7 +226,7 @@
                 return Submitted(row, resent=False)
         raise AnswerLostError("The platform did not say whether the job was accepted")
 
-    async def _find_earlier(self, row: JobRow, key: str) -> Submitted | None:
+    async def _find_existing(self, row: JobRow, key: str) -> Submitted | None:
         """Finds the job that a key already means, or this very one."""
         if not row.job_key:
             rows = await self.platform.read([job_key(row.job)])
@@ -231,7 +234,7 @@
         found = (await self.platform.read([key])).get(key)
         if found is None:
             return None
-        known = decode_row(found, KeyRow)
+        known = decode_row(found, IdempotencyKeyRow)
         if known.job == row.job:
             return Submitted(row, resent=False)
         if known.content_hash != row.content_hash:
@@ -239,5 +242,5 @@
                 f"The key {row.job_key} belongs to job {known.job} with other content",
                 remedy="Use a new key, or send the same content.",
             )
-        earlier, _ = await self._reader.get(known.job)
-        return Submitted(earlier, resent=True)
+        existing, _ = await self._reader.get(known.job)
+        return Submitted(existing, resent=True)
--- a/src/coppercleat/batch/_challenges.py
+++ b/src/coppercleat/batch/_challenges.py
@@ -12,18 +12,18 @@
 
 from coppercleat.ids import InstanceId
 
-_FIRST_PAUSE_S = 2.0
-_LONGEST_PAUSE_S = 60.0
+_INITIAL_RETRY_DELAY_S = 2.0
+_MAX_RETRY_DELAY_S = 60.0
 
 
 @attrs.define
-class _Asked:
+class _HolderChallenge:
     """What is known of one holder's challenge row."""
 
     version: int = 0
-    since: float = 0.0
-    pause_s: float = _FIRST_PAUSE_S
-    not_before: float = float("-inf")
+    first_seen_at: float = 0.0
+    retry_delay_s: float = _INITIAL_RETRY_DELAY_S
+    retry_not_before: float = float("-inf")
 
 
 class Challenges:
@@ -35,7 +35,7 @@
 
     def __init__(self, *, wait_s: float) -> None:
         self.wait_s = wait_s
-        self._asked: dict[InstanceId, _Asked] = {}
+        self._challenges_by_holder: dict[InstanceId, _HolderChallenge] = {}
 
     def may_ask(self, holder: InstanceId, now: float) -> bool:
         """Returns whether to challenge a holder that has no challenge open.
@@ -43,8 +43,8 @@
         A holder that answers although no peer hears it is cut off from some
         of them; asking it again is put off for longer each time.
         """
-        asked = self._asked.get(holder)
-        return asked is None or now >= asked.not_before
+        challenge = self._challenges_by_holder.get(holder)
+        return challenge is None or now >= challenge.retry_not_before
 
     def observe(self, holder: InstanceId, version: int, now: float) -> bool:
         """Takes the version of a holder's challenge row, 0 for none.
@@ -57,28 +57,28 @@
         Returns:
           Whether the same challenge has stood unanswered for long enough.
         """
-        asked = self._asked.setdefault(holder, _Asked())
+        challenge = self._challenges_by_holder.setdefault(holder, _HolderChallenge())
         if not version:
-            if asked.version:
-                self._put_off(asked, now)
-            asked.version = 0
+            if challenge.version:
+                self._delay_retry(challenge, now)
+            challenge.version = 0
             return False
-        if asked.version != version:
-            asked.version = version
-            asked.since = now
+        if challenge.version != version:
+            challenge.version = version
+            challenge.first_seen_at = now
             return False
-        return now - asked.since >= self.wait_s
+        return now - challenge.first_seen_at >= self.wait_s
 
     def interrupted(self) -> None:
         """Notes that the platform was away: nobody could have answered."""
-        for asked in self._asked.values():
-            asked.version = 0
+        for challenge in self._challenges_by_holder.values():
+            challenge.version = 0
 
-    def heard(self, holder: InstanceId) -> None:
+    def record_alive(self, holder: InstanceId) -> None:
         """Notes that peers hear a holder again."""
-        self._asked.pop(holder, None)
+        self._challenges_by_holder.pop(holder, None)
 
     @staticmethod
-    def _put_off(asked: _Asked, now: float) -> None:
-        asked.not_before = now + asked.pause_s
-        asked.pause_s = min(_LONGEST_PAUSE_S, 2 * asked.pause_s)
+    def _delay_retry(challenge: _HolderChallenge, now: float) -> None:
+        challenge.retry_not_before = now + challenge.retry_delay_s
+        challenge.retry_delay_s = min(_MAX_RETRY_DELAY_S, 2 * challenge.retry_delay_s)
--- a/src/coppercleat/batch/_share.py
+++ b/src/coppercleat/batch/_claim_scheduler.py
@@ -9,8 +9,8 @@
 from coppercleat.batch._rows import JobRow
 from coppercleat.ids import TenantId
 
-_FAIR_EVERY = 4
-_NEVER = float("inf")
+_FAIR_SHARE_INTERVAL = 4
+_NO_DUE_TIME = float("inf")
 
 
 class OpenJob(msgspec.Struct, frozen=True):
@@ -28,7 +28,7 @@
     """
 
     def __init__(self) -> None:
-        self._turn = 0
+        self._call_count = 0
 
     def order(
         self,
@@ -44,9 +44,9 @@
           held: Segments that this instance holds, by tenant.
           weights: Share of each tenant; 1 if not named.
         """
-        self._turn += 1
-        by_due = sorted(jobs, key=lambda job: (_due(job), job.row.accepted_at))
-        if self._turn % _FAIR_EVERY:
+        self._call_count += 1
+        by_due = sorted(jobs, key=lambda job: (_due_time(job), job.row.accepted_at))
+        if self._call_count % _FAIR_SHARE_INTERVAL:
             return by_due
         return sorted(
             by_due,
@@ -56,5 +56,5 @@
         )
 
 
-def _due(job: OpenJob) -> float:
-    return job.row.due_at or _NEVER
+def _due_time(job: OpenJob) -> float:
+    return job.row.due_at or _NO_DUE_TIME
--- a/src/coppercleat/batch/_claiming.py
+++ b/src/coppercleat/batch/_claimer.py
@@ -7,33 +7,33 @@
 import trio
 
 from coppercleat.batch._challenges import Challenges
-from coppercleat.batch._feeding import Feeding
-from coppercleat.batch._rows import NOBODY, SegmentRow, challenge_key
+from coppercleat.batch._claim_scheduler import ClaimChooser, OpenJob
+from coppercleat.batch._dispatcher import ItemDispatcher
+from coppercleat.batch._rows import NO_HOLDER, SegmentRow, challenge_key
+from coppercleat.batch._segment_work import SegmentWork
 from coppercleat.batch._segments import Claimed, HeldSegment
-from coppercleat.batch._share import ClaimChooser, OpenJob
 from coppercleat.batch._state import BatchState
-from coppercleat.batch._work import SegmentWork
 from coppercleat.configuration import Kind
 from coppercleat.errors import NotFoundError, PlatformUnavailableError
 from coppercleat.ids import InstanceId, TenantId
 from coppercleat.observability import part_logger
 from coppercleat.storage import AnswerLostError, Check, paced
 
-_PROBED_SEGMENTS = 64
-_CLAIM_READS_PER_S = 50.0
-_WATCHES_TO_ANSWER = 2.5
-_SWEEP_S = 10.0
+_MAX_CLAIM_CANDIDATES = 64
+_MAX_CLAIM_READS_PER_S = 50.0
+_CHALLENGE_WATCH_INTERVALS = 2.5
+_SWEEP_PERIOD_S = 10.0
 
 _log = part_logger("batch")
 
 
-class Claiming:
+class SegmentClaimer:
     """Keeps this instance in work, as long as there is any."""
 
     def __init__(
         self,
         state: BatchState,
-        feeding: Feeding,
+        dispatcher: ItemDispatcher,
         *,
         lose: Callable[[SegmentWork, str], None],
         on_jobs: Callable[[Sequence[OpenJob]], None],
@@ -42,12 +42,12 @@
 
         Args:
           state: What the parts of the batch path share.
-          feeding: Tells which runners there are to feed.
+          dispatcher: Tells which runners there are to feed.
           lose: Stops all work on a segment.
           on_jobs: Told of all open jobs at each look.
         """
         self.state = state
-        self._feeding = feeding
+        self._dispatcher = dispatcher
         self._lose = lose
         self._on_jobs = on_jobs
         self._chooser = ClaimChooser()
@@ -57,21 +57,23 @@
     async def run(self) -> None:
         """Looks for work at each hint and poll, until cancelled."""
         while True:
-            self.state.look = trio.Event()
+            self.state.poll_requested = trio.Event()
             try:
                 await self._claim_round()
             except (PlatformUnavailableError, AnswerLostError):
-                self._sweep_until = trio.current_time() + _SWEEP_S
+                self._sweep_until = trio.current_time() + _SWEEP_PERIOD_S
             pause = paced(
-                self.state.settings.poll_s, self.state.fleet.live(), _CLAIM_READS_PER_S
+                self.state.settings.poll_s,
+                self.state.fleet.live(),
+                _MAX_CLAIM_READS_PER_S,
             )
             with trio.move_on_after(pause * self.state.rng.uniform(0.75, 1.25)):
-                await self.state.look.wait()
+                await self.state.poll_requested.wait()
 
     async def _claim_round(self) -> None:
         if self.state.draining:
             return
-        await self._release_stranded()
+        await self._release_undispatchable()
         jobs = [
             OpenJob(row, version)
             for row, version in await self.state.store.reader.list_open()
@@ -80,7 +82,7 @@
             await self._sweep(jobs)
         self.state.open_jobs = len(jobs)
         self._on_jobs(jobs)
-        while self._hungry():
+        while self._needs_segments():
             held: dict[TenantId, int] = {}
             for segment in self.state.held:
                 tenant = segment.held.job.tenant
@@ -96,14 +98,14 @@
             else:
                 return
 
-    async def _release_stranded(self) -> None:
+    async def _release_undispatchable(self) -> None:
         """Gives up segments that no runner fed by this instance can run."""
-        services = self._feeding.services()
-        busy = self._feeding.running_segments()
+        services = self._dispatcher.services()
+        busy = self._dispatcher.running_segments()
         for segment in list(self.state.held):
             deployment = self.state.deployment_of(segment)
-            wanted = deployment.service if deployment else None
-            if wanted in services or segment in busy or not segment.waiting:
+            service = deployment.service if deployment else None
+            if service in services or segment in busy or not segment.waiting:
                 continue
             if segment.commit_lock.locked():
                 continue
@@ -136,43 +138,46 @@
                 await self.state.store.segments.release(left)
                 _log.info("Segment swept.", job=job.row.job, segment=number)
 
-    def _hungry(self) -> bool:
+    def _needs_segments(self) -> bool:
         """Whether fewer items wait than the runners fed could take."""
-        room = self._feeding.runners() * self.state.settings.max_concurrency
+        room = self._dispatcher.runners() * self.state.settings.max_concurrency
         waiting = sum(segment.waiting for segment in self.state.held)
         return (
-            not self.state.draining and not self.state.results_full and waiting < room
+            not self.state.draining
+            and not self.state.at_uncommitted_limit
+            and waiting < room
         )
 
     async def _claim_from(self, job: OpenJob) -> bool:
         """Claims one segment of a job; returns whether it did."""
         deployment = self.state.document.get(Kind.DEPLOYMENT, job.row.deployment)
-        if deployment is None or deployment.service not in self._feeding.services():
+        if deployment is None or deployment.service not in self._dispatcher.services():
             return False
         rows = await self.state.store.reader.segments(job.row)
         division = job.row.division
         if len(rows) == division.segments and all(r.done for r, _ in rows.values()):
             await self.state.store.ending.complete_if_done(job.row.job)
             return False
-        mine = {
+        own_segments = {
             w.held.segment for w in self.state.held if w.held.job.job == job.row.job
         }
         open_segments = [
             number
             for number in range(division.segments)
-            if number not in mine and not (number in rows and rows[number][0].done)
+            if number not in own_segments
+            and not (number in rows and rows[number][0].done)
         ]
         for number in open_segments:
             if number not in rows:
                 continue
             free, challenge = await self._may_take_over(rows[number][0])
-            if free and await self._take(job, number, rows[number], challenge):
+            if free and await self._claim_segment(job, number, rows[number], challenge):
                 return True
         unclaimed = [number for number in open_segments if number not in rows]
         if not unclaimed:
             return False
-        number = self.state.rng.choice(unclaimed[:_PROBED_SEGMENTS])
-        return await self._take(job, number, None, None)
+        number = self.state.rng.choice(unclaimed[:_MAX_CLAIM_CANDIDATES])
+        return await self._claim_segment(job, number, None, None)
 
     async def _may_take_over(self, row: SegmentRow) -> tuple[bool, Check | None]:
         """Returns whether a held segment may be taken over, on what condition.
@@ -181,13 +186,13 @@
         work on, is from an earlier start or from a claim whose answer or whose
         input never came.
         """
-        if row.holder in (NOBODY, self.state.instance):
+        if row.holder in (NO_HOLDER, self.state.instance):
             return True, None
         state = self.state.fleet.holder_state(row.holder, row.incarnation)
         if state.restarted:
             return True, None
         if state.heard:
-            self._challenges.heard(row.holder)
+            self._challenges.record_alive(row.holder)
             return False, None
         return await self._challenge(row.holder)
 
@@ -196,7 +201,7 @@
         now = trio.current_time()
         self._challenges.wait_s = max(
             self.state.settings.challenge_s,
-            _WATCHES_TO_ANSWER * self.state.watch_pause_s(),
+            _CHALLENGE_WATCH_INTERVALS * self.state.watch_interval_s(),
         )
         try:
             version = await self.state.store.segments.challenge_version(holder)
@@ -209,7 +214,7 @@
             raise
         return unanswered, Check(challenge_key(holder), version)
 
-    async def _take(
+    async def _claim_segment(
         self,
         job: OpenJob,
         number: int,
--- a/src/coppercleat/batch/_committing.py
+++ b/src/coppercleat/batch/_committer.py
@@ -7,9 +7,9 @@
 
 import trio
 
+from coppercleat.batch._segment_work import SegmentWork
 from coppercleat.batch._segments import Commit
 from coppercleat.batch._state import BatchState
-from coppercleat.batch._work import SegmentWork
 from coppercleat.errors import PlatformUnavailableError
 from coppercleat.observability import part_logger
 from coppercleat.storage import AnswerLostError
@@ -20,7 +20,7 @@
 _log = part_logger("batch")
 
 
-class Committing:
+class ChunkCommitter:
     """Brings results to the platform, however long it is away."""
 
     def __init__(
@@ -52,18 +52,18 @@
                     continue
                 self.state.metrics.commits.inc({"outcome": outcome.name.lower()})
                 if outcome is Commit.DONE:
-                    segment.committed(chunk)
+                    segment.remove_committed(chunk)
                 else:
                     self.lose(segment, outcome.value)
                 break
         finally:
-            self.state.held_results -= 1
+            self.state.uncommitted_chunks -= 1
         if segment.finished:
             await self._finish_segment(segment)
 
     async def _finish_segment(self, segment: SegmentWork) -> None:
-        self.state.drop(segment)
-        self.state.look.set()
+        self.state.remove_segment(segment)
+        self.state.poll_requested.set()
         job = segment.held.job.job
         with contextlib.suppress(PlatformUnavailableError, AnswerLostError):
             if await self.state.store.ending.complete_if_done(job):
@@ -72,7 +72,7 @@
     def lose(self, segment: SegmentWork, why: str) -> None:
         """Stops all work on a segment that is no longer this instance's."""
         segment.lost = True
-        self.state.drop(segment)
+        self.state.remove_segment(segment)
         self._stop(segment)
         _log.info(
             "Segment given up.",
--- a/src/coppercleat/batch/_feed.py
+++ b/src/coppercleat/batch/_dispatch_policies.py
@@ -14,12 +14,12 @@
 
 from coppercleat.routing import ONLINE_ACTIVITY_WINDOW_S
 
-_FIRST_LIMIT = 8
-_GROWTH_S = 0.05
-_MAX_STEPS = 16
-_HOLD_S = 0.1
-_STATIC_SHARE = 4
-_LIGHT_SHARE = 8
+_INITIAL_LIMIT = 8
+_DOUBLING_INTERVAL_S = 0.05
+_MAX_DOUBLINGS = 16
+_ONLINE_COOLDOWN_S = 0.1
+_STATIC_DIVISOR = 4
+_REDUCED_DIVISOR = 8
 
 
 class RunnerView(msgspec.Struct, frozen=True, kw_only=True):
@@ -60,7 +60,7 @@
 
 
 @feed_policy("none")
-class NoPolicy:
+class UnlimitedPolicy:
     """Feeds as much as the runner may take, whatever happens online."""
 
     def limit(self, view: RunnerView, now: float) -> int:
@@ -69,12 +69,12 @@
 
 
 @feed_policy("static")
-class StaticShare:
+class StaticSharePolicy:
     """Feeds a fixed quarter, whatever happens online."""
 
     def limit(self, view: RunnerView, now: float) -> int:
         """See ``FeedPolicy.limit``."""
-        return max(1, view.max_concurrency // _STATIC_SHARE)
+        return max(1, view.max_concurrency // _STATIC_DIVISOR)
 
 
 @feed_policy("yield")
@@ -85,23 +85,25 @@
     short hold after the last, then doubles from a small start.
     """
 
-    light_s = 0.0
+    reduced_s = 0.0
 
     def __init__(self) -> None:
-        self._online_at = float("-inf")
+        self._last_online_at = float("-inf")
 
     def limit(self, view: RunnerView, now: float) -> int:
         """See ``FeedPolicy.limit``."""
         if view.online:
-            self._online_at = now
+            self._last_online_at = now
             return 0
-        quiet = now - self._online_at - _HOLD_S
-        if quiet < 0:
+        idle_s = now - self._last_online_at - _ONLINE_COOLDOWN_S
+        if idle_s < 0:
             return 0
-        if quiet < self.light_s:
-            return max(1, view.max_concurrency // _LIGHT_SHARE)
-        steps = min(_MAX_STEPS, (quiet - self.light_s) / _GROWTH_S)
-        return min(view.max_concurrency, _FIRST_LIMIT << int(steps))
+        if idle_s < self.reduced_s:
+            return max(1, view.max_concurrency // _REDUCED_DIVISOR)
+        doublings = min(
+            _MAX_DOUBLINGS, (idle_s - self.reduced_s) / _DOUBLING_INTERVAL_S
+        )
+        return min(view.max_concurrency, _INITIAL_LIMIT << int(doublings))
 
 
 @feed_policy("reserve")
@@ -112,4 +114,4 @@
     is soon over. Costs batch speed for a shorter online tail.
     """
 
-    light_s = ONLINE_ACTIVITY_WINDOW_S
+    reduced_s = ONLINE_ACTIVITY_WINDOW_S
--- a/src/coppercleat/batch/_feeding.py
+++ b/src/coppercleat/batch/_dispatcher.py
@@ -8,10 +8,10 @@
 import attrs
 import trio
 
-from coppercleat.batch._feed import FEED_POLICIES, FeedPolicy, RunnerView
+from coppercleat.batch._dispatch_policies import FEED_POLICIES, FeedPolicy, RunnerView
 from coppercleat.batch._items import ItemResult
+from coppercleat.batch._segment_work import ItemWork, SegmentWork
 from coppercleat.batch._state import BatchState
-from coppercleat.batch._work import ItemWork, SegmentWork
 from coppercleat.configuration import Deployment
 from coppercleat.errors import (
     Outcome,
@@ -23,23 +23,23 @@
 from coppercleat.routing import CircuitState, UpstreamRecord
 from coppercleat.upstreams import Attempt, EngineRequest
 
-_TICK_S = 0.05
-_IDLE_TICK_S = 0.5
-_UPSTREAM_PAUSE_S = 0.25
+_SCHEDULE_INTERVAL_S = 0.05
+_IDLE_SCHEDULE_INTERVAL_S = 0.5
+_UPSTREAM_RETRY_DELAY_S = 0.25
 
 
 @attrs.define(eq=False)
-class _Running:
+class _RunningItem:
     """An item that runs on a runner."""
 
     work: ItemWork
     segment: SegmentWork
     scope: trio.CancelScope
-    yielded: bool = False
+    preempted: bool = False
 
 
 @attrs.define(eq=False)
-class _Feed:
+class _UpstreamDispatch:
     """What this instance feeds to one runner.
 
     Attributes:
@@ -49,12 +49,12 @@
 
     record: UpstreamRecord
     policy: FeedPolicy
-    running: list[_Running] = attrs.field(factory=list)
-    paused_until: float = 0.0
+    running: list[_RunningItem] = attrs.field(factory=list)
+    retry_at: float = 0.0
     retired: bool = False
 
 
-class Feeding:
+class ItemDispatcher:
     """Starts items on runners, lets go of them, and gathers what they give."""
 
     def __init__(
@@ -68,7 +68,7 @@
         """
         self.state = state
         self._on_chunk = on_chunk
-        self._feeds: dict[UpstreamId, _Feed] = {}
+        self._upstreams: dict[UpstreamId, _UpstreamDispatch] = {}
         self._nursery: trio.Nursery | None = None
 
     async def run(self) -> None:
@@ -79,115 +79,123 @@
 
     def online_changed(self, upstream: UpstreamId) -> None:
         """Lets go of a runner at once if online requests have come to it."""
-        feed = self._feeds.get(upstream)
-        if feed is not None:
-            self._let_go(feed, trio.current_time())
+        dispatch = self._upstreams.get(upstream)
+        if dispatch is not None:
+            self._preempt_excess(dispatch, trio.current_time())
 
     def limits(self) -> dict[UpstreamId, tuple[int, int]]:
         """Returns items running and the limit, for each runner fed."""
         now = trio.current_time()
         return {
-            upstream: (len(feed.running), self._limit(feed, now))
-            for upstream, feed in self._feeds.items()
+            upstream: (len(dispatch.running), self._limit(dispatch, now))
+            for upstream, dispatch in self._upstreams.items()
         }
 
     def runners(self) -> int:
         """Returns how many runners are fed from here."""
-        return sum(not feed.retired for feed in self._feeds.values())
+        return sum(not dispatch.retired for dispatch in self._upstreams.values())
 
     def running_segments(self) -> set[SegmentWork]:
         """Returns the segments of which any item runs."""
-        return {r.segment for feed in self._feeds.values() for r in feed.running}
+        return {
+            r.segment for dispatch in self._upstreams.values() for r in dispatch.running
+        }
 
     def stop(self, segment: SegmentWork | None = None) -> None:
         """Cancels the items of a segment; of all, if none is named."""
-        for feed in self._feeds.values():
-            for running in feed.running:
+        for dispatch in self._upstreams.values():
+            for running in dispatch.running:
                 if segment is None or running.segment is segment:
-                    self._yield(running)
+                    self._preempt(running)
 
     async def _schedule_forever(self) -> None:
         while True:
             self.state.wake = trio.Event()
             self._schedule(trio.current_time())
-            active = self.state.held or any(f.running for f in self._feeds.values())
-            with trio.move_on_after(_TICK_S if active else _IDLE_TICK_S):
+            active = self.state.held or any(f.running for f in self._upstreams.values())
+            with trio.move_on_after(
+                _SCHEDULE_INTERVAL_S if active else _IDLE_SCHEDULE_INTERVAL_S
+            ):
                 await self.state.wake.wait()
 
     def _schedule(self, now: float) -> None:
-        self._refresh_feeds()
-        for feed in self._feeds.values():
-            self._let_go(feed, now)
-            if feed.retired or now < feed.paused_until or self.state.results_full:
+        self._refresh_upstreams()
+        for dispatch in self._upstreams.values():
+            self._preempt_excess(dispatch, now)
+            if (
+                dispatch.retired
+                or now < dispatch.retry_at
+                or self.state.at_uncommitted_limit
+            ):
                 continue
-            limit = self._limit(feed, now)
-            breaker = feed.record.breaker
+            limit = self._limit(dispatch, now)
+            breaker = dispatch.record.breaker
             if breaker.state is CircuitState.HALF_OPEN:
                 limit = min(limit, 1)
-            while len(feed.running) < limit and self._start_next(feed):
+            while len(dispatch.running) < limit and self._start_next(dispatch):
                 breaker.started()
 
-    def _refresh_feeds(self) -> None:
+    def _refresh_upstreams(self) -> None:
         records = {record.upstream: record for record in self.state.fleet.fed()}
-        for upstream, feed in list(self._feeds.items()):
-            feed.retired = records.get(upstream) is not feed.record
-            if feed.retired and not feed.running:
-                del self._feeds[upstream]
+        for upstream, dispatch in list(self._upstreams.items()):
+            dispatch.retired = records.get(upstream) is not dispatch.record
+            if dispatch.retired and not dispatch.running:
+                del self._upstreams[upstream]
         for upstream, record in records.items():
-            if upstream not in self._feeds:
+            if upstream not in self._upstreams:
                 policy = FEED_POLICIES[self.state.settings.policy]()
-                self._feeds[upstream] = _Feed(record, policy)
+                self._upstreams[upstream] = _UpstreamDispatch(record, policy)
 
     def services(self) -> set[str]:
         """Returns the services whose runners this instance feeds."""
         return {
-            feed.record.node.service
-            for feed in self._feeds.values()
-            if not feed.retired
+            dispatch.record.node.service
+            for dispatch in self._upstreams.values()
+            if not dispatch.retired
         }
 
-    def _limit(self, feed: _Feed, now: float) -> int:
+    def _limit(self, dispatch: _UpstreamDispatch, now: float) -> int:
         view = RunnerView(
-            online=self.state.fleet.online_total(feed.record.upstream),
-            batch=len(feed.running),
+            online=self.state.fleet.online_total(dispatch.record.upstream),
+            batch=len(dispatch.running),
             max_concurrency=self.state.settings.max_concurrency,
         )
-        return feed.policy.limit(view, now)
+        return dispatch.policy.limit(view, now)
 
-    def _let_go(self, feed: _Feed, now: float) -> None:
+    def _preempt_excess(self, dispatch: _UpstreamDispatch, now: float) -> None:
         """Cancels the items that exceed the limit, the latest begun first."""
-        excess = len(feed.running) - self._limit(feed, now)
-        for running in reversed(feed.running):
+        excess = len(dispatch.running) - self._limit(dispatch, now)
+        for running in reversed(dispatch.running):
             if excess <= 0:
                 return
-            if not running.yielded:
-                self._yield(running)
-                self.state.metrics.yields.inc({"upstream": feed.record.upstream})
+            if not running.preempted:
+                self._preempt(running)
+                self.state.metrics.yields.inc({"upstream": dispatch.record.upstream})
             excess -= 1
 
     @staticmethod
-    def _yield(running: _Running) -> None:
-        running.yielded = True
+    def _preempt(running: _RunningItem) -> None:
+        running.preempted = True
         running.scope.cancel()
 
-    def _start_next(self, feed: _Feed) -> bool:
+    def _start_next(self, dispatch: _UpstreamDispatch) -> bool:
         for segment in self.state.held:
             deployment = self.state.deployment_of(segment)
-            if deployment is None or deployment.service != feed.record.node.service:
+            if deployment is None or deployment.service != dispatch.record.node.service:
                 continue
-            work = segment.take()
+            work = segment.next_item()
             if work is None:
                 continue
-            running = _Running(work, segment, trio.CancelScope())
-            feed.running.append(running)
-            feed.record.batch += 1
+            running = _RunningItem(work, segment, trio.CancelScope())
+            dispatch.running.append(running)
+            dispatch.record.batch += 1
             assert self._nursery is not None
-            self._nursery.start_soon(self._run_item, feed, running, deployment)
+            self._nursery.start_soon(self._run_item, dispatch, running, deployment)
             return True
         return False
 
     async def _run_item(
-        self, feed: _Feed, running: _Running, deployment: Deployment
+        self, dispatch: _UpstreamDispatch, running: _RunningItem, deployment: Deployment
     ) -> None:
         work, segment = running.work, running.segment
         result: ItemResult | None = None
@@ -196,31 +204,33 @@
                 running.scope,
                 trio.move_on_after(self.state.settings.item_timeout_s) as limit,
             ):
-                result = await self._execute(feed, work, segment, deployment)
-            if limit.cancelled_caught and not running.yielded:
+                result = await self._execute(dispatch, work, segment, deployment)
+            if limit.cancelled_caught and not running.preempted:
                 why = f"no answer within {self.state.settings.item_timeout_s} s"
-                self._lost(feed, work, ("timeout", why))
+                self._handle_lost_attempt(dispatch, work, ("timeout", why))
         finally:
-            feed.running.remove(running)
-            feed.record.batch -= 1
+            dispatch.running.remove(running)
+            dispatch.record.batch -= 1
             self.state.wake.set()
-        if result is None and work.given_up(self.state.settings.max_attempts):
-            result = _gave_up(work)
+        if result is None and work.has_failed(self.state.settings.max_attempts):
+            result = _failed_result(work)
         if result is None:
-            segment.put_back(work)
+            segment.requeue(work)
             return
         self._finish(segment, work, result)
 
-    def _lost(self, feed: _Feed, work: ItemWork, error: tuple[str, str]) -> None:
+    def _handle_lost_attempt(
+        self, dispatch: _UpstreamDispatch, work: ItemWork, error: tuple[str, str]
+    ) -> None:
         """Notes an attempt without an answer, and lets the upstream rest."""
         now = trio.current_time()
-        work.lost(feed.record.breaker, error)
-        feed.record.breaker.failed(now)
-        feed.paused_until = now + _UPSTREAM_PAUSE_S
+        work.record_lost_attempt(dispatch.record.breaker, error)
+        dispatch.record.breaker.failed(now)
+        dispatch.retry_at = now + _UPSTREAM_RETRY_DELAY_S
 
     async def _execute(
         self,
-        feed: _Feed,
+        dispatch: _UpstreamDispatch,
         work: ItemWork,
         segment: SegmentWork,
         deployment: Deployment,
@@ -228,48 +238,48 @@
         """Runs an item; None means that it must run again."""
         job = segment.held.job
         tokens = work.item.max_tokens or job.max_tokens or deployment.default_max_tokens
-        if len(work.made) >= tokens:
-            return _answered(work)
+        if len(work.generated) >= tokens:
+            return _successful_result(work)
         work.attempts += 1
         request = EngineRequest(
             request_id=f"{job.job}-{work.index}.{work.attempts}",
             model=self.state.pick_version(deployment),
             prompt=work.item.prompt,
             max_tokens=tokens,
-            resume_tokens=len(work.made),
+            resume_tokens=len(work.generated),
         )
         attempt = Attempt()
-        client = self.state.fleet.batch_client(feed.record.upstream)
+        client = self.state.fleet.batch_client(dispatch.record.upstream)
         try:
             answer = client.generate(request, attempt)
             async with contextlib.aclosing(answer) as parts:
                 async for texts in parts:
-                    work.made += texts
+                    work.generated += texts
         except UpstreamFailedError as error:
             if error.outcome is Outcome.RUN:
-                work.refused((error.kind, error.message))
+                work.record_refusal((error.kind, error.message))
             else:
-                self._lost(feed, work, (error.kind, error.message))
+                self._handle_lost_attempt(dispatch, work, (error.kind, error.message))
             return None
         except UpstreamUnavailableError:
             work.attempts -= 1
-            feed.record.breaker.failed(trio.current_time())
+            dispatch.record.breaker.failed(trio.current_time())
             return None
         except UpstreamRefusedError:
             work.attempts -= 1
-            feed.paused_until = trio.current_time() + _UPSTREAM_PAUSE_S
+            dispatch.retry_at = trio.current_time() + _UPSTREAM_RETRY_DELAY_S
             return None
-        feed.record.breaker.succeeded()
-        return _answered(work)
+        dispatch.record.breaker.succeeded()
+        return _successful_result(work)
 
     def _finish(self, segment: SegmentWork, work: ItemWork, result: ItemResult) -> None:
         self.state.metrics.items.inc({"ended": "answered" if result.ok else "failed"})
-        chunk = segment.finish(work, result)
+        chunk = segment.record_result(work, result)
         if chunk is not None and not segment.lost:
             self._on_chunk(segment, chunk)
 
 
-def _gave_up(work: ItemWork) -> ItemResult:
+def _failed_result(work: ItemWork) -> ItemResult:
     kind, message = work.last_error
     return ItemResult(
         index=work.index,
@@ -281,10 +291,10 @@
     )
 
 
-def _answered(work: ItemWork) -> ItemResult:
+def _successful_result(work: ItemWork) -> ItemResult:
     return ItemResult(
         index=work.index,
         id=work.item.id,
-        text="".join(work.made),
+        text="".join(work.generated),
         attempts=work.attempts,
     )
--- a/src/coppercleat/batch/_ending.py
+++ b/src/coppercleat/batch/_finisher.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from coppercleat.batch._jobs import JobState, may_become
+from coppercleat.batch._jobs import JobState, can_transition
 from coppercleat.batch._reading import JobReader
 from coppercleat.batch._rows import JobRow, job_key, open_key, result_prefix
 from coppercleat.errors import JobEndedError
@@ -20,11 +20,11 @@
     TransactionRefused,
 )
 
-_ATTEMPTS = 4
+_MAX_TRANSACTION_ATTEMPTS = 4
 """Transactions whose answers may be lost before a caller is told so."""
 
 
-class JobEnding:
+class JobFinisher:
     """Ends each job once, as completed or as cancelled."""
 
     def __init__(
@@ -64,11 +64,11 @@
           JobEndedError: The job has completed.
           AnswerLostError: The platform never said; cancel again.
         """
-        for _ in range(_ATTEMPTS):
+        for _ in range(_MAX_TRANSACTION_ATTEMPTS):
             row, version = await self._reader.get(job)
             if row.state is JobState.CANCELLED:
                 return row
-            if not may_become(row.state, JobState.CANCELLED):
+            if not can_transition(row.state, JobState.CANCELLED):
                 raise JobEndedError(f"The job {job} is {row.state.value}")
             ended = await self._end(row, version, JobState.CANCELLED)
             if ended is not None:
--- a/src/coppercleat/batch/_items.py
+++ b/src/coppercleat/batch/_items.py
@@ -57,14 +57,14 @@
     def __init__(self) -> None:
         self.lines = 0
         self.problems: list[str] = []
-        self._rest = b""
+        self._partial_line = b""
 
     def feed(self, data: bytes) -> list[Item]:
         """Takes bytes and returns the items of the lines they complete."""
-        parts = (self._rest + data).split(b"\n")
-        self._rest = parts.pop()
-        if len(self._rest) > _MAX_LINE_BYTES:
-            self._report(self.lines + 1, f"exceeds {_MAX_LINE_BYTES} bytes")
+        parts = (self._partial_line + data).split(b"\n")
+        self._partial_line = parts.pop()
+        if len(self._partial_line) > _MAX_LINE_BYTES:
+            self._add_problem(self.lines + 1, f"exceeds {_MAX_LINE_BYTES} bytes")
             raise self.error()
         return self._decode(parts)
 
@@ -74,7 +74,7 @@
         Raises:
           InvalidRequestError: Some lines were wrong; nothing may be accepted.
         """
-        rest, self._rest = self._rest, b""
+        rest, self._partial_line = self._partial_line, b""
         items = self._decode([rest]) if rest else []
         if self.problems:
             raise self.error()
@@ -97,11 +97,11 @@
             try:
                 items.append(_line_decoder.decode(part))
             except (msgspec.DecodeError, msgspec.ValidationError) as error:
-                self._report(self.lines, str(error))
+                self._add_problem(self.lines, str(error))
             except UnicodeDecodeError:
-                self._report(self.lines, "not UTF-8")
+                self._add_problem(self.lines, "not UTF-8")
         return items
 
-    def _report(self, line: int, problem: str) -> None:
+    def _add_problem(self, line: int, problem: str) -> None:
         if len(self.problems) < _MAX_PROBLEMS:
             self.problems.append(f"line {line}: {problem}")
--- a/src/coppercleat/batch/_jobs.py
+++ b/src/coppercleat/batch/_jobs.py
@@ -30,9 +30,9 @@
 }
 
 
-def may_become(state: JobState, wanted: JobState) -> bool:
+def can_transition(state: JobState, target: JobState) -> bool:
     """Returns whether the state table has the transition."""
-    return wanted in JOB_TRANSITIONS[state]
+    return target in JOB_TRANSITIONS[state]
 
 
 class Division(msgspec.Struct, frozen=True, kw_only=True):
--- a/src/coppercleat/batch/_lateness.py
+++ b/src/coppercleat/batch/_lateness_monitor.py
@@ -7,8 +7,8 @@
 
 import trio
 
+from coppercleat.batch._claim_scheduler import OpenJob
 from coppercleat.batch._forecast import forecast
-from coppercleat.batch._share import OpenJob
 from coppercleat.batch._state import BatchState
 from coppercleat.errors import PlatformUnavailableError
 from coppercleat.ids import JobId
@@ -17,7 +17,7 @@
 _log = part_logger("batch")
 
 
-class Lateness:
+class LatenessMonitor:
     """The late jobs among those that this instance is the steward of."""
 
     def __init__(self, state: BatchState) -> None:
--- a/src/coppercleat/batch/_reading.py
+++ b/src/coppercleat/batch/_reading.py
@@ -18,7 +18,7 @@
 from coppercleat.ids import JobId
 from coppercleat.storage import Platform, decode_row
 
-_PAGE = 1000
+_PAGE_ROWS = 1000
 """Rows that one call reads."""
 
 
@@ -55,7 +55,7 @@
             raise NotFoundError(f"There is no job {job}")
         return decode_row(row, JobRow), row.version
 
-    async def list_open(self, *, limit: int = _PAGE) -> list[tuple[JobRow, int]]:
+    async def list_open(self, *, limit: int = _PAGE_ROWS) -> list[tuple[JobRow, int]]:
         """Returns open jobs with the versions of their rows."""
         found = await self.platform.scan(OPEN_PREFIX, limit=limit)
         keys = [job_key(JobId(key.removeprefix(OPEN_PREFIX))) for key, _ in found]
@@ -83,11 +83,11 @@
         rows: dict[int, tuple[SegmentRow, int]] = {}
         after = ""
         while True:
-            found = await self.platform.scan(prefix, after=after, limit=_PAGE)
+            found = await self.platform.scan(prefix, after=after, limit=_PAGE_ROWS)
             for key, row in found:
                 number = int(key.removeprefix(prefix))
                 rows[number] = (decode_row(row, SegmentRow), row.version)
-            if len(found) < _PAGE:
+            if len(found) < _PAGE_ROWS:
                 return rows
             after = found[-1][0]
 
--- a/src/coppercleat/batch/_rows.py
+++ b/src/coppercleat/batch/_rows.py
@@ -17,8 +17,8 @@
 from coppercleat.ids import DeploymentId, InstanceId, JobId, TenantId
 
 OPEN_PREFIX = "open/"
-INPUT_OBJECT_ITEMS = 4096
-NOBODY = InstanceId("")
+ITEMS_PER_INPUT_OBJECT = 4096
+NO_HOLDER = InstanceId("")
 """The holder of a segment that was given up."""
 
 
@@ -38,7 +38,7 @@
     finished_at: float = 0.0
 
 
-class KeyRow(msgspec.Struct, frozen=True):
+class IdempotencyKeyRow(msgspec.Struct, frozen=True):
     """Which job a submitter's key means."""
 
     job: JobId
@@ -80,7 +80,7 @@
     return OPEN_PREFIX + job
 
 
-def submitter_key(tenant: TenantId, key: str) -> str:
+def idempotency_row_key(tenant: TenantId, key: str) -> str:
     """Key of the row that finds a job by its submitter's key."""
     return f"jobkey/{tenant}/{key}"
 
@@ -100,7 +100,7 @@
     return f"challenge/{instance}"
 
 
-def input_object(job: JobId, part: int) -> str:
+def input_object_name(job: JobId, part: int) -> str:
     """Name of the object with a part of the input."""
     return f"input/{job}/{part:06d}"
 
@@ -110,6 +110,6 @@
     return f"result/{job}/"
 
 
-def result_object(job: JobId, segment: int, chunk: int, token: str) -> str:
+def result_object_name(job: JobId, segment: int, chunk: int, token: str) -> str:
     """Name of a result object, unique to the attempt at the chunk."""
     return f"{result_prefix(job)}{segment:06d}/{chunk:03d}-{token}"
--- a/src/coppercleat/batch/_runner.py
+++ b/src/coppercleat/batch/_runner.py
@@ -6,19 +6,19 @@
 
 import trio
 
-from coppercleat.batch._claiming import Claiming
-from coppercleat.batch._committing import Committing
-from coppercleat.batch._feeding import Feeding
-from coppercleat.batch._lateness import Lateness
+from coppercleat.batch._claimer import SegmentClaimer
+from coppercleat.batch._committer import ChunkCommitter
+from coppercleat.batch._dispatcher import ItemDispatcher
+from coppercleat.batch._lateness_monitor import LatenessMonitor
+from coppercleat.batch._segment_work import SegmentWork
 from coppercleat.batch._state import BatchState
-from coppercleat.batch._work import SegmentWork
 from coppercleat.errors import PlatformUnavailableError
 from coppercleat.ids import UpstreamId
 from coppercleat.observability import part_logger
 from coppercleat.storage import AnswerLostError
 
 _DRAIN_POLL_S = 0.05
-_RELEASE_S = 1.0
+_RELEASE_TIMEOUT_S = 1.0
 
 _log = part_logger("batch")
 
@@ -32,14 +32,14 @@
 
     def __init__(self, state: BatchState) -> None:
         self.state = state
-        self._feeding = Feeding(state, on_chunk=self._commit_soon)
-        self._committing = Committing(state, stop=self._feeding.stop)
-        self._lateness = Lateness(state)
-        self._claiming = Claiming(
+        self._dispatcher = ItemDispatcher(state, on_chunk=self._start_commit)
+        self._committer = ChunkCommitter(state, stop=self._dispatcher.stop)
+        self._lateness_monitor = LatenessMonitor(state)
+        self._claimer = SegmentClaimer(
             state,
-            self._feeding,
-            lose=self._committing.lose,
-            on_jobs=self._lateness.watch,
+            self._dispatcher,
+            lose=self._committer.lose,
+            on_jobs=self._lateness_monitor.watch,
         )
         self._nursery: trio.Nursery | None = None
 
@@ -47,22 +47,22 @@
         """Works until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
-            nursery.start_soon(self._feeding.run)
-            nursery.start_soon(self._claiming.run)
-            nursery.start_soon(self._lateness.run)
+            nursery.start_soon(self._dispatcher.run)
+            nursery.start_soon(self._claimer.run)
+            nursery.start_soon(self._lateness_monitor.run)
             nursery.start_soon(self._watch_forever)
 
     def online_changed(self, upstream: UpstreamId) -> None:
         """Lets go of a runner at once if online requests have come to it."""
-        self._feeding.online_changed(upstream)
+        self._dispatcher.online_changed(upstream)
 
     def hint(self) -> None:
         """Looks for work and for cancelled jobs now rather than at the next poll."""
-        self.state.look.set()
+        self.state.poll_requested.set()
 
     def batch_limits(self) -> dict[UpstreamId, tuple[int, int]]:
         """Returns items running and the limit, for each runner fed."""
-        return self._feeding.limits()
+        return self._dispatcher.limits()
 
     async def drain(self, *, deadline: float) -> None:
         """Finishes begun chunks by a deadline, then gives all segments up."""
@@ -72,25 +72,28 @@
         self.state.wake.set()
         while trio.current_time() < deadline and self._busy():
             await trio.sleep(_DRAIN_POLL_S)
-        self._feeding.stop()
-        with trio.move_on_after(_RELEASE_S):
+        self._dispatcher.stop()
+        with trio.move_on_after(_RELEASE_TIMEOUT_S):
             for segment in list(self.state.held):
                 with contextlib.suppress(PlatformUnavailableError, AnswerLostError):
                     await self.state.store.segments.release(segment.held)
         self.state.held.clear()
 
     def _busy(self) -> bool:
-        return bool(self._feeding.running_segments()) or self.state.held_results > 0
+        return (
+            bool(self._dispatcher.running_segments())
+            or self.state.uncommitted_chunks > 0
+        )
 
-    def _commit_soon(self, segment: SegmentWork, chunk: int) -> None:
+    def _start_commit(self, segment: SegmentWork, chunk: int) -> None:
         assert self._nursery is not None
-        self.state.held_results += 1
-        self._nursery.start_soon(self._committing.commit, segment, chunk)
+        self.state.uncommitted_chunks += 1
+        self._nursery.start_soon(self._committer.commit, segment, chunk)
 
     async def _watch_forever(self) -> None:
         while True:
             await trio.sleep(
-                self.state.watch_pause_s() * self.state.rng.uniform(0.75, 1.0)
+                self.state.watch_interval_s() * self.state.rng.uniform(0.75, 1.0)
             )
             if not self.state.held:
                 continue
@@ -100,7 +103,7 @@
     async def _watch(self) -> None:
         """Notices challenges, take-overs and ended jobs, in one read."""
         by_held = {id(work.held): work for work in self.state.held}
-        version, lost = await self.state.store.segments.look(
+        version, lost = await self.state.store.segments.check_held(
             self.state.instance, [work.held for work in self.state.held]
         )
         if version:
@@ -111,4 +114,4 @@
         for held in lost:
             work = by_held[id(held)]
             if not work.lost and work in self.state.held:
-                self._committing.lose(work, "taken over, or the job has ended")
+                self._committer.lose(work, "taken over, or the job has ended")
--- a/src/coppercleat/batch/_work.py
+++ b/src/coppercleat/batch/_segment_work.py
@@ -12,11 +12,11 @@
 from coppercleat.batch._segments import HeldSegment
 from coppercleat.routing import CircuitBreaker
 
-_MAX_LOST_ATTEMPTS = 10
+_MAX_LOST_ATTEMPTS_PER_ITEM = 10
 
 
 @attrs.define
-class _Suspicion:
+class _LostAttempt:
     """An attempt that was lost on an upstream, which may be to blame itself."""
 
     breaker: CircuitBreaker
@@ -32,7 +32,7 @@
 
     Attributes:
       index: Its place in the job.
-      made: Texts that cancelled runs have made, so that none is lost.
+      generated: Texts that cancelled runs have made, so that none is lost.
       attempts: Executions started.
       refusals: Attempts that the upstream answered with an error.
       last_error: Kind and message of the last failed attempt.
@@ -40,31 +40,36 @@
 
     index: int
     item: Item
-    made: list[str] = attrs.field(factory=list)
+    generated: list[str] = attrs.field(factory=list)
     attempts: int = 0
     refusals: int = 0
     last_error: tuple[str, str] = ("", "")
-    suspicions: list[_Suspicion] = attrs.field(factory=list)
+    lost_attempts: list[_LostAttempt] = attrs.field(factory=list)
 
-    def lost(self, breaker: CircuitBreaker, error: tuple[str, str]) -> None:
+    def record_lost_attempt(
+        self, breaker: CircuitBreaker, error: tuple[str, str]
+    ) -> None:
         """Notes an attempt that ended without an answer."""
-        self.suspicions.append(_Suspicion(breaker, breaker.successes))
+        self.lost_attempts.append(_LostAttempt(breaker, breaker.successes))
         self.last_error = error
 
-    def refused(self, error: tuple[str, str]) -> None:
+    def record_refusal(self, error: tuple[str, str]) -> None:
         """Notes an attempt that the upstream answered with an error."""
         self.refusals += 1
         self.last_error = error
 
-    def given_up(self, max_attempts: int) -> bool:
+    def has_failed(self, max_attempts: int) -> bool:
         """Whether the item has failed for good.
 
         Args:
           max_attempts: Failures that may be laid to the item.
         """
-        laid = sum(s.breaker.successes > s.successes for s in self.suspicions)
-        lost = len(self.suspicions)
-        return self.refusals + laid >= max_attempts or lost >= _MAX_LOST_ATTEMPTS
+        attributed = sum(s.breaker.successes > s.successes for s in self.lost_attempts)
+        lost = len(self.lost_attempts)
+        return (
+            self.refusals + attributed >= max_attempts
+            or lost >= _MAX_LOST_ATTEMPTS_PER_ITEM
+        )
 
 
 class SegmentWork:
@@ -87,7 +92,7 @@
         self._start = division.segment_range(held.segment).start
         self._chunk_items = division.chunk_items
         self._results: dict[int, dict[int, ItemResult]] = {}
-        self._waiting: collections.deque[ItemWork] = collections.deque()
+        self._queue: collections.deque[ItemWork] = collections.deque()
         self._uncommitted = 0
         for chunk, name in enumerate(held.row.results):
             if name:
@@ -96,40 +101,40 @@
             self._results[chunk] = {}
             for index in division.chunk_range(held.segment, chunk):
                 item = items[index - self._start]
-                self._waiting.append(ItemWork(index=index, item=item))
-        self._begun: set[int] = set()
+                self._queue.append(ItemWork(index=index, item=item))
+        self._started_chunks: set[int] = set()
 
     @property
     def waiting(self) -> int:
         """Items not running and without a result."""
-        return len(self._waiting)
+        return len(self._queue)
 
     @property
     def finished(self) -> bool:
         """Whether every chunk has been committed."""
         return self._uncommitted == 0
 
-    def take(self) -> ItemWork | None:
+    def next_item(self) -> ItemWork | None:
         """Returns the next item to run, or None."""
-        if self.lost or not self._waiting:
+        if self.lost or not self._queue:
             return None
-        chunk = self.chunk_of(self._waiting[0])
-        if self.draining and chunk not in self._begun:
+        chunk = self.chunk_of(self._queue[0])
+        if self.draining and chunk not in self._started_chunks:
             return None
-        self._begun.add(chunk)
-        return self._waiting.popleft()
+        self._started_chunks.add(chunk)
+        return self._queue.popleft()
 
-    def put_back(self, work: ItemWork) -> None:
+    def requeue(self, work: ItemWork) -> None:
         """Returns an item that was taken and has no result.
 
         It goes first, unless it failed: then it holds up none of the others.
         """
-        if work.refusals or work.suspicions:
-            self._waiting.append(work)
+        if work.refusals or work.lost_attempts:
+            self._queue.append(work)
         else:
-            self._waiting.appendleft(work)
+            self._queue.appendleft(work)
 
-    def finish(self, work: ItemWork, result: ItemResult) -> int | None:
+    def record_result(self, work: ItemWork, result: ItemResult) -> int | None:
         """Records a result; returns the chunk if that completes it."""
         chunk = self.chunk_of(work)
         results = self._results[chunk]
@@ -147,7 +152,7 @@
         found = self._results[chunk]
         return [found[index] for index in sorted(found)]
 
-    def committed(self, chunk: int) -> None:
+    def remove_committed(self, chunk: int) -> None:
         """Forgets a chunk's results, which are now readable."""
         del self._results[chunk]
         self._uncommitted -= 1
--- a/src/coppercleat/batch/_segments.py
+++ b/src/coppercleat/batch/_segments.py
@@ -18,15 +18,15 @@
 from coppercleat.batch._items import Item, ItemResult
 from coppercleat.batch._jobs import JobState
 from coppercleat.batch._rows import (
-    INPUT_OBJECT_ITEMS,
-    NOBODY,
+    ITEMS_PER_INPUT_OBJECT,
+    NO_HOLDER,
     ChallengeRow,
     JobRow,
     SegmentRow,
     challenge_key,
-    input_object,
+    input_object_name,
     job_key,
-    result_object,
+    result_object_name,
     segment_key,
 )
 from coppercleat.errors import NotFoundError, PlatformUnavailableError
@@ -44,7 +44,7 @@
     decode_row,
 )
 
-_ATTEMPTS = 4
+_MAX_TRANSACTION_ATTEMPTS = 4
 """Transactions whose answers may be lost before a commit is given back."""
 
 _log = part_logger("batch")
@@ -137,7 +137,7 @@
                 Transaction(checks=checks, puts=[Put(key, msgspec.json.encode(row))])
             )
         except AnswerLostError:
-            return await self._settle_claim(job, job_version, segment, row, known)
+            return await self._verify_claim(job, job_version, segment, row, known)
         if isinstance(result, TransactionRefused):
             ended = job_key(job.job) in result.reason
             return Claimed.JOB_ENDED if ended else Claimed.TAKEN
@@ -149,7 +149,7 @@
             version=result[key],
         )
 
-    async def _settle_claim(
+    async def _verify_claim(
         self,
         job: JobRow,
         job_version: int,
@@ -175,16 +175,16 @@
     async def read_items(self, held: HeldSegment) -> list[Item]:
         """Returns the items of a held segment, in order."""
         indices = held.job.division.segment_range(held.segment)
-        first = indices.start // INPUT_OBJECT_ITEMS
-        last = (indices.stop - 1) // INPUT_OBJECT_ITEMS
+        first = indices.start // ITEMS_PER_INPUT_OBJECT
+        last = (indices.stop - 1) // ITEMS_PER_INPUT_OBJECT
         items: list[Item] = []
         for part in range(first, last + 1):
-            name = input_object(held.job.job, part)
+            name = input_object_name(held.job.job, part)
             body = await self.platform.get_object(name)
             if body is None:
                 raise NotFoundError(f"The input {name} is gone")
             items += msgspec.json.decode(body, type=list[Item])
-        offset = first * INPUT_OBJECT_ITEMS
+        offset = first * ITEMS_PER_INPUT_OBJECT
         return items[indices.start - offset : indices.stop - offset]
 
     async def commit(
@@ -199,14 +199,18 @@
           PlatformUnavailableError: Nothing was committed.
           AnswerLostError: The platform never said; call again.
         """
-        name = result_object(held.job.job, held.segment, chunk, random_token(self._rng))
+        name = result_object_name(
+            held.job.job, held.segment, chunk, random_token(self._rng)
+        )
         await self.platform.put_object(name, msgspec.json.encode(results))
-        outcome = await self._point_at(held, chunk, name)
+        outcome = await self._write_result_pointer(held, chunk, name)
         if outcome is not Commit.DONE:
-            await self._drop_object(name)
+            await self._delete_orphan(name)
         return outcome
 
-    async def _point_at(self, held: HeldSegment, chunk: int, name: str) -> Commit:
+    async def _write_result_pointer(
+        self, held: HeldSegment, chunk: int, name: str
+    ) -> Commit:
         results = list(held.row.results)
         results[chunk] = name
         row = msgspec.structs.replace(held.row, results=tuple(results))
@@ -218,7 +222,7 @@
             ],
             puts=[Put(key, msgspec.json.encode(row))],
         )
-        for _ in range(_ATTEMPTS):
+        for _ in range(_MAX_TRANSACTION_ATTEMPTS):
             try:
                 result = await self.platform.transact(transaction)
             except AnswerLostError:
@@ -226,12 +230,12 @@
             if isinstance(result, dict):
                 held.row, held.version = row, result[key]
                 return Commit.DONE
-            settled = await self._settle_commit(held, row, chunk)
-            if settled is not None:
-                return settled
+            verified = await self._verify_commit(held, row, chunk)
+            if verified is not None:
+                return verified
         raise AnswerLostError("The platform did not say whether it took the chunk")
 
-    async def _settle_commit(
+    async def _verify_commit(
         self, held: HeldSegment, row: SegmentRow, chunk: int
     ) -> Commit | None:
         """Reads rows back; None means that the commit may be tried again.
@@ -246,17 +250,17 @@
         if found is None or job is None or found.version < held.version:
             return None
         current = decode_row(found, SegmentRow)
-        mine = _holder(current) == _holder(held.row)
+        same_holder = _holder_identity(current) == _holder_identity(held.row)
         if current.results[chunk] == row.results[chunk]:
             held.row = row
-            if mine:
+            if same_holder:
                 held.row, held.version = current, found.version
             return Commit.DONE
         if decode_row(job, JobRow).state is not JobState.OPEN:
             return Commit.JOB_ENDED
         return Commit.TAKEN_OVER if found.version != held.version else None
 
-    async def _drop_object(self, name: str) -> None:
+    async def _delete_orphan(self, name: str) -> None:
         try:
             await self.platform.delete_object(name)
         except (PlatformUnavailableError, AnswerLostError) as error:
@@ -264,7 +268,7 @@
 
     async def release(self, held: HeldSegment) -> None:
         """Gives a segment up, so that another instance claims it at once."""
-        row = SegmentRow(holder=NOBODY, incarnation=0, results=held.row.results)
+        row = SegmentRow(holder=NO_HOLDER, incarnation=0, results=held.row.results)
         key = segment_key(held.job.job, held.segment)
         await self.platform.transact(
             Transaction(
@@ -296,7 +300,7 @@
             Transaction(checks=[Check(key, version)], deletes=[key])
         )
 
-    async def look(
+    async def check_held(
         self, instance: InstanceId, held: Sequence[HeldSegment]
     ) -> tuple[int, list[HeldSegment]]:
         """Reads, in one call, what a holder must notice.
@@ -321,8 +325,10 @@
     segment = rows.get(segment_key(held.job.job, held.segment))
     if job is None or segment is None or job.version != held.job_version:
         return False
-    return _holder(decode_row(segment, SegmentRow)) == _holder(held.row)
+    return _holder_identity(decode_row(segment, SegmentRow)) == _holder_identity(
+        held.row
+    )
 
 
-def _holder(row: SegmentRow) -> tuple[InstanceId, int]:
+def _holder_identity(row: SegmentRow) -> tuple[InstanceId, int]:
     return row.holder, row.incarnation
--- a/src/coppercleat/batch/_state.py
+++ b/src/coppercleat/batch/_state.py
@@ -9,15 +9,15 @@
 import trio
 
 from coppercleat.batch._ports import Fleet
+from coppercleat.batch._segment_work import SegmentWork
 from coppercleat.batch._store import JobStore
-from coppercleat.batch._work import SegmentWork
 from coppercleat.configuration import Deployment, Document, Kind
 from coppercleat.ids import InstanceId
 from coppercleat.observability import Metrics
 from coppercleat.settings import BatchSettings
 from coppercleat.storage import paced
 
-_WATCH_READS_PER_S = 300.0
+_MAX_WATCH_READS_PER_S = 300.0
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -37,10 +37,10 @@
       pick_version: Draws a version of a deployment.
       held: Segments that this instance holds.
       draining: Whether nothing new is begun.
-      held_results: Chunks complete and not yet committed.
+      uncommitted_chunks: Chunks complete and not yet committed.
       open_jobs: Open jobs at the last look.
       wake: Set when items may be started.
-      look: Set when jobs should be looked at now.
+      poll_requested: Set when jobs should be looked at now.
     """
 
     instance: InstanceId
@@ -55,25 +55,25 @@
     pick_version: Callable[[Deployment], str]
     held: list[SegmentWork] = attrs.field(factory=list)
     draining: bool = False
-    held_results: int = 0
+    uncommitted_chunks: int = 0
     open_jobs: int = 0
     wake: trio.Event = attrs.field(factory=trio.Event)
-    look: trio.Event = attrs.field(factory=trio.Event)
+    poll_requested: trio.Event = attrs.field(factory=trio.Event)
 
     @property
-    def results_full(self) -> bool:
+    def at_uncommitted_limit(self) -> bool:
         """Whether as many chunks wait for their commit as may."""
-        return self.held_results >= self.settings.max_held_chunks
+        return self.uncommitted_chunks >= self.settings.max_held_chunks
 
     def deployment_of(self, segment: SegmentWork) -> Deployment | None:
         """Returns the deployment that a segment's items run on."""
         return self.document.get(Kind.DEPLOYMENT, segment.held.job.deployment)
 
-    def drop(self, segment: SegmentWork) -> None:
+    def remove_segment(self, segment: SegmentWork) -> None:
         """Forgets a segment that is finished or lost."""
         if segment in self.held:
             self.held.remove(segment)
 
-    def watch_pause_s(self) -> float:
+    def watch_interval_s(self) -> float:
         """Returns how long a holder waits between looks at its segments."""
-        return paced(self.settings.poll_s, self.fleet.live(), _WATCH_READS_PER_S)
+        return paced(self.settings.poll_s, self.fleet.live(), _MAX_WATCH_READS_PER_S)
--- a/src/coppercleat/batch/_store.py
+++ b/src/coppercleat/batch/_store.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from coppercleat.batch._acceptance import JobAcceptance
-from coppercleat.batch._ending import JobEnding
+from coppercleat.batch._finisher import JobFinisher
 from coppercleat.batch._reading import JobReader
 from coppercleat.batch._segments import SegmentStore
 from coppercleat.storage import Platform
@@ -42,4 +42,4 @@
         self.reader = JobReader(platform)
         self.acceptance = JobAcceptance(platform, self.reader, clock=clock, rng=rng)
         self.segments = SegmentStore(platform, rng=rng)
-        self.ending = JobEnding(platform, self.reader, clock=clock)
+        self.ending = JobFinisher(platform, self.reader, clock=clock)
--- a/src/coppercleat/orders/__init__.py
+++ b/src/coppercleat/orders/__init__.py
@@ -1,8 +1,8 @@
 """Orders to engines: which versions to load, by one fenced holder a service."""
 
-from coppercleat.orders._keeper import OrderKeeper
 from coppercleat.orders._lease import Lease, LeaseRow, LeaseStore, LeaseWatch
 from coppercleat.orders._plan import Order, Wanted, plan_orders, wanted_versions
+from coppercleat.orders._reconciler import OrderKeeper
 
 __all__ = [
     "Lease",
--- a/src/coppercleat/orders/_lease.py
+++ b/src/coppercleat/orders/_lease.py
@@ -44,18 +44,18 @@
       version: The row's version, which the next renewal checks.
       valid_until: On the holder's clock, counted from before the last renewal
         was sent, so that others cannot have counted less.
-      quiet_until: On the holder's clock; before it no order may be given, for
+      orders_allowed_at: On the holder's clock; before it no order may be given, for
         an earlier holder's order may still be under way.
     """
 
     row: LeaseRow
     version: int
     valid_until: float
-    quiet_until: float
+    orders_allowed_at: float
 
-    def may_order(self, now: float, *, longest_order_s: float) -> bool:
+    def may_order(self, now: float, *, max_order_s: float) -> bool:
         """Returns whether an order given now ends while the lease is valid."""
-        return self.quiet_until <= now and now + longest_order_s < self.valid_until
+        return self.orders_allowed_at <= now and now + max_order_s < self.valid_until
 
 
 class LeaseWatch:
@@ -68,15 +68,15 @@
     def __init__(self, *, duration_s: float) -> None:
         self.duration_s = duration_s
         self._version = -1
-        self._since = 0.0
+        self._version_seen_at = 0.0
 
-    def lapsed(self, version: int, now: float) -> bool:
+    def expired(self, version: int, now: float) -> bool:
         """Takes the row's version as just read; returns whether it lapsed."""
         if version != self._version:
             self._version = version
-            self._since = now
+            self._version_seen_at = now
             return False
-        return now - self._since >= self.duration_s
+        return now - self._version_seen_at >= self.duration_s
 
 
 class LeaseStore:
@@ -94,7 +94,7 @@
             return None, ABSENT
         return decode_row(row, LeaseRow), row.version
 
-    async def take(
+    async def acquire(
         self,
         name: str,
         found: tuple[LeaseRow | None, int],
@@ -102,7 +102,7 @@
         holder: InstanceId,
         incarnation: int,
         now: float,
-        quiet_s: float,
+        orders_wait_s: float,
     ) -> Lease | None:
         """Takes a lease that is free or has lapsed.
 
@@ -112,7 +112,7 @@
           holder: Who takes it.
           incarnation: Which start of that instance.
           now: The holder's clock before this call.
-          quiet_s: Seconds in which an earlier holder's order may still come.
+          orders_wait_s: Seconds in which an earlier holder's order may still come.
 
         Returns:
           The lease, or None if another was faster or no answer came.
@@ -126,12 +126,12 @@
         taken = await self._write(name, row, version)
         if taken is None:
             return None
-        quiet_until = now + quiet_s if before else now
+        orders_allowed_at = now + orders_wait_s if before else now
         return Lease(
             row=row,
             version=taken,
             valid_until=now + self.duration_s,
-            quiet_until=quiet_until,
+            orders_allowed_at=orders_allowed_at,
         )
 
     async def renew(self, name: str, lease: Lease, *, now: float) -> bool:
--- a/src/coppercleat/orders/_plan.py
+++ b/src/coppercleat/orders/_plan.py
@@ -74,11 +74,13 @@
         for version in sorted(wanted.versions - set(loaded[upstream]))
     ]
     if loads:
-        scarce = sorted(loads, key=lambda o: (_serving(o.version, loaded), o.upstream))
-        if not _enough(wanted, loaded) or not may_unload:
-            return scarce[:max_loads]
-        loads = scarce[:max_loads]
-    if not wanted.versions or not may_unload or not _enough(wanted, loaded):
+        by_scarcity = sorted(
+            loads, key=lambda o: (_serving_count(o.version, loaded), o.upstream)
+        )
+        if not _enough_serving(wanted, loaded) or not may_unload:
+            return by_scarcity[:max_loads]
+        loads = by_scarcity[:max_loads]
+    if not wanted.versions or not may_unload or not _enough_serving(wanted, loaded):
         return loads
     unloads = [
         Order(upstream, UNLOAD, version)
@@ -88,10 +90,12 @@
     return loads + unloads
 
 
-def _serving(version: str, loaded: Mapping[UpstreamId, Collection[str]]) -> int:
+def _serving_count(version: str, loaded: Mapping[UpstreamId, Collection[str]]) -> int:
     return sum(version in versions for versions in loaded.values())
 
 
-def _enough(wanted: Wanted, loaded: Mapping[UpstreamId, Collection[str]]) -> bool:
+def _enough_serving(
+    wanted: Wanted, loaded: Mapping[UpstreamId, Collection[str]]
+) -> bool:
     needed = min(wanted.min_serving, len(loaded))
-    return all(_serving(v, loaded) >= needed for v in wanted.versions)
+    return all(_serving_count(v, loaded) >= needed for v in wanted.versions)
--- a/src/coppercleat/orders/_keeper.py
+++ b/src/coppercleat/orders/_reconciler.py
@@ -72,7 +72,7 @@
         self.metrics = metrics
         self.leases: dict[str, Lease] = {}
         self._store = LeaseStore(platform, duration_s=settings.lease_s)
-        self._watches: dict[str, LeaseWatch] = {}
+        self._expiry_monitors: dict[str, LeaseWatch] = {}
         self._seen_revision = 0
         self._seen_at = 0.0
 
@@ -80,14 +80,14 @@
         """Works until cancelled."""
         while True:
             await trio.sleep(self.settings.poll_s)
-            self._note_revision(trio.current_time())
+            self._record_revision(trio.current_time())
             for service in self._services():
                 try:
-                    await self._keep(service)
+                    await self._reconcile(service)
                 except CoppercleatError as error:
                     _log.warning("Orders put off.", service=service, why=error.message)
 
-    def _note_revision(self, now: float) -> None:
+    def _record_revision(self, now: float) -> None:
         if self.document.revision != self._seen_revision:
             self._seen_revision = self.document.revision
             self._seen_at = now
@@ -96,21 +96,21 @@
         deployments = self.document.bodies(Kind.DEPLOYMENT)
         return sorted({deployment.service for _, deployment in deployments})
 
-    async def _keep(self, service: str) -> None:
+    async def _reconcile(self, service: str) -> None:
         """Does one round for a service, if it falls to this instance."""
         chosen = rendezvous_owner(f"orders/{service}", self.engines.alive())
         if chosen != self.instance:
             self.leases.pop(service, None)
-            self._watches.pop(service, None)
+            self._expiry_monitors.pop(service, None)
             return
-        lease = await self._hold(service)
+        lease = await self._ensure_lease(service)
         if lease is None:
             return
         now = trio.current_time()
         wanted = wanted_versions(
             (body for _, body in self.document.bodies(Kind.DEPLOYMENT)), service
         )
-        loaded = await self._loaded(service)
+        loaded = await self._query_loaded_versions(service)
         drift = _drift(wanted, loaded.values())
         self.metrics.drift.set({"service": service}, drift)
         may_unload = now - self._seen_at >= self.settings.unload_after_s
@@ -118,9 +118,9 @@
             wanted, loaded, max_loads=self.settings.max_loads, may_unload=may_unload
         )
         for order in orders:
-            await self._give(service, lease, order)
+            await self._send_order(service, lease, order)
 
-    async def _hold(self, service: str) -> Lease | None:
+    async def _ensure_lease(self, service: str) -> Lease | None:
         """Renews the lease, or takes it when it is free."""
         now = trio.current_time()
         lease = self.leases.get(service)
@@ -134,25 +134,25 @@
         found = await self._store.read(service)
         row, version = found
         own = row is not None and row.holder == self.instance
-        watch = self._watches.setdefault(
+        monitor = self._expiry_monitors.setdefault(
             service, LeaseWatch(duration_s=self.settings.lease_s)
         )
-        if row is not None and not own and not watch.lapsed(version, now):
+        if row is not None and not own and not monitor.expired(version, now):
             return None
-        lease = await self._store.take(
+        lease = await self._store.acquire(
             service,
             found,
             holder=self.instance,
             incarnation=self.incarnation(),
             now=now,
-            quiet_s=self.settings.lease_s + self.settings.order_timeout_s,
+            orders_wait_s=self.settings.lease_s + self.settings.order_timeout_s,
         )
         if lease is not None:
             self.leases[service] = lease
             _log.info("Lease taken.", service=service, fence=lease.row.fence)
         return lease
 
-    async def _loaded(self, service: str) -> dict[UpstreamId, list[str]]:
+    async def _query_loaded_versions(self, service: str) -> dict[UpstreamId, list[str]]:
         """Asks each engine what it has loaded; those that do not say are left out."""
         reports: dict[UpstreamId, list[str]] = {}
 
@@ -167,14 +167,14 @@
                 nursery.start_soon(ask, record)
         return reports
 
-    async def _give(self, service: str, lease: Lease, order: Order) -> None:
+    async def _send_order(self, service: str, lease: Lease, order: Order) -> None:
         """Gives one order, if the lease outlasts the longest it may take."""
         now = trio.current_time()
-        longest = self.settings.order_timeout_s
-        if not lease.may_order(now, longest_order_s=longest):
+        max_order_s = self.settings.order_timeout_s
+        if not lease.may_order(now, max_order_s=max_order_s):
             return
         client = self.engines.online_client(order.upstream)
-        with trio.move_on_after(longest) as scope:
+        with trio.move_on_after(max_order_s) as scope:
             try:
                 versions = await client.order(
                     order.action, order.version, fence=lease.row.fence
