--- a/src/coppercleat/batch/__init__.py
+++ b/src/coppercleat/batch/__init__.py
@@ -1,52 +1,52 @@
 """Batch jobs: accepted means done once, readable, on time or known to be late."""
 
-from coppercleat.batch._acceptance import Submission, Submitted
-from coppercleat.batch._challenges import Challenges
-from coppercleat.batch._claim_scheduler import ClaimChooser, OpenJob
+from coppercleat.batch._acceptance import Submission, SubmissionResult
+from coppercleat.batch._challenges import ChallengeTracker
+from coppercleat.batch._claim_scheduler import ClaimScheduler, OpenJob
 from coppercleat.batch._dispatch_policies import (
-    FEED_POLICIES,
-    FeedPolicy,
-    RunnerView,
-    feed_policy,
+    DISPATCH_POLICIES,
+    DispatchPolicy,
+    UpstreamUsage,
+    dispatch_policy,
 )
 from coppercleat.batch._forecast import Forecast, forecast
-from coppercleat.batch._items import Item, ItemLines, ItemResult
+from coppercleat.batch._items import Item, ItemLineDecoder, ItemResult
 from coppercleat.batch._jobs import Division, JobState, divide
 from coppercleat.batch._ports import Fleet, HolderState
 from coppercleat.batch._reading import Progress
 from coppercleat.batch._rows import JobRow, SegmentRow
 from coppercleat.batch._runner import BatchRunner
-from coppercleat.batch._segments import Claimed, Commit, HeldSegment
+from coppercleat.batch._segments import ClaimRefusal, CommitOutcome, HeldSegment
 from coppercleat.batch._state import BatchState
 from coppercleat.batch._store import JobStore
 
 __all__ = [
-    "FEED_POLICIES",
+    "DISPATCH_POLICIES",
     "BatchRunner",
     "BatchState",
-    "Challenges",
-    "ClaimChooser",
-    "Claimed",
-    "Commit",
+    "ChallengeTracker",
+    "ClaimScheduler",
+    "ClaimRefusal",
+    "CommitOutcome",
     "Division",
-    "FeedPolicy",
+    "DispatchPolicy",
     "Fleet",
     "Forecast",
     "HeldSegment",
     "HolderState",
     "Item",
-    "ItemLines",
+    "ItemLineDecoder",
     "ItemResult",
     "JobRow",
     "JobState",
     "JobStore",
     "OpenJob",
     "Progress",
-    "RunnerView",
+    "UpstreamUsage",
     "SegmentRow",
     "Submission",
-    "Submitted",
+    "SubmissionResult",
     "divide",
-    "feed_policy",
+    "dispatch_policy",
     "forecast",
 ]
--- a/src/coppercleat/batch/_acceptance.py
+++ b/src/coppercleat/batch/_acceptance.py
@@ -55,7 +55,7 @@
     max_tokens: int
 
 
-class Submitted(msgspec.Struct, frozen=True):
+class SubmissionResult(msgspec.Struct, frozen=True):
     """An accepted job, and whether it had been accepted before."""
 
     row: JobRow
@@ -100,17 +100,17 @@
         submission: Submission,
         items: AsyncIterator[list[Item]],
         *,
-        runners: int,
+        upstream_count: int,
         max_items: int,
         chunk_items: int,
         segment_chunks: int,
-    ) -> Submitted:
+    ) -> SubmissionResult:
         """Accepts a job durably, or refuses it whole.
 
         Args:
           submission: What is asked.
           items: The items, in lists of any length.
-          runners: Upstreams that can run them.
+          upstream_count: Upstreams that can run them.
           max_items: Items in a job at most.
           chunk_items: Items in a chunk at most.
           segment_chunks: Chunks in a segment at most.
@@ -126,7 +126,7 @@
             await self._store_input(job, submission, items, max_items, stored)
             division = divide(
                 stored.items,
-                runners=runners,
+                upstream_count=upstream_count,
                 chunk_items=chunk_items,
                 segment_chunks=segment_chunks,
             )
@@ -195,7 +195,7 @@
         except (PlatformUnavailableError, AnswerLostError) as error:
             _log.info("Input of no job stays.", job=job, reason=str(error))
 
-    async def _accept(self, row: JobRow) -> Submitted:
+    async def _accept(self, row: JobRow) -> SubmissionResult:
         key = idempotency_row_key(row.tenant, row.job_key)
         puts = [
             Put(job_key(row.job), msgspec.json.encode(row)),
@@ -223,24 +223,24 @@
             except AnswerLostError:
                 continue
             if not isinstance(result, TransactionRefused):
-                return Submitted(row, resent=False)
+                return SubmissionResult(row, resent=False)
         raise AnswerLostError("The platform did not say whether the job was accepted")
 
-    async def _find_existing(self, row: JobRow, key: str) -> Submitted | None:
+    async def _find_existing(self, row: JobRow, key: str) -> SubmissionResult | None:
         """Finds the job that a key already means, or this very one."""
         if not row.job_key:
             rows = await self.platform.read([job_key(row.job)])
-            return Submitted(row, resent=False) if rows else None
+            return SubmissionResult(row, resent=False) if rows else None
         found = (await self.platform.read([key])).get(key)
         if found is None:
             return None
         known = decode_row(found, IdempotencyKeyRow)
         if known.job == row.job:
-            return Submitted(row, resent=False)
+            return SubmissionResult(row, resent=False)
         if known.content_hash != row.content_hash:
             raise ConflictError(
                 f"The key {row.job_key} belongs to job {known.job} with other content",
                 remedy="Use a new key, or send the same content.",
             )
         existing, _ = await self._reader.get(known.job)
-        return Submitted(existing, resent=True)
+        return SubmissionResult(existing, resent=True)
--- a/src/coppercleat/batch/_challenges.py
+++ b/src/coppercleat/batch/_challenges.py
@@ -26,18 +26,18 @@
     retry_not_before: float = float("-inf")
 
 
-class Challenges:
+class ChallengeTracker:
     """Challenges as one instance sees them; the clock is passed in.
 
     Attributes:
-      wait_s: How long a holder has for its answer, in seconds.
+      response_timeout_s: How long a holder has for its answer, in seconds.
     """
 
-    def __init__(self, *, wait_s: float) -> None:
-        self.wait_s = wait_s
+    def __init__(self, *, response_timeout_s: float) -> None:
+        self.response_timeout_s = response_timeout_s
         self._challenges_by_holder: dict[InstanceId, _HolderChallenge] = {}
 
-    def may_ask(self, holder: InstanceId, now: float) -> bool:
+    def may_challenge(self, holder: InstanceId, now: float) -> bool:
         """Returns whether to challenge a holder that has no challenge open.
 
         A holder that answers although no peer hears it is cut off from some
@@ -67,9 +67,9 @@
             challenge.version = version
             challenge.first_seen_at = now
             return False
-        return now - challenge.first_seen_at >= self.wait_s
+        return now - challenge.first_seen_at >= self.response_timeout_s
 
-    def interrupted(self) -> None:
+    def record_outage(self) -> None:
         """Notes that the platform was away: nobody could have answered."""
         for challenge in self._challenges_by_holder.values():
             challenge.version = 0
--- a/src/coppercleat/batch/_claim_scheduler.py
+++ b/src/coppercleat/batch/_claim_scheduler.py
@@ -20,7 +20,7 @@
     version: int
 
 
-class ClaimChooser:
+class ClaimScheduler:
     """Orders open jobs: mostly by due time, every fourth time by fair share.
 
     The due time alone would let one tenant with early due times take all; the
--- a/src/coppercleat/batch/_claimer.py
+++ b/src/coppercleat/batch/_claimer.py
@@ -6,12 +6,12 @@
 
 import trio
 
-from coppercleat.batch._challenges import Challenges
-from coppercleat.batch._claim_scheduler import ClaimChooser, OpenJob
+from coppercleat.batch._challenges import ChallengeTracker
+from coppercleat.batch._claim_scheduler import ClaimScheduler, OpenJob
 from coppercleat.batch._dispatcher import ItemDispatcher
 from coppercleat.batch._rows import NO_HOLDER, SegmentRow, challenge_key
 from coppercleat.batch._segment_work import SegmentWork
-from coppercleat.batch._segments import Claimed, HeldSegment
+from coppercleat.batch._segments import ClaimRefusal, HeldSegment
 from coppercleat.batch._state import BatchState
 from coppercleat.configuration import Kind
 from coppercleat.errors import NotFoundError, PlatformUnavailableError
@@ -50,8 +50,10 @@
         self._dispatcher = dispatcher
         self._lose = lose
         self._on_jobs = on_jobs
-        self._chooser = ClaimChooser()
-        self._challenges = Challenges(wait_s=state.settings.challenge_s)
+        self._chooser = ClaimScheduler()
+        self._challenges = ChallengeTracker(
+            response_timeout_s=state.settings.challenge_s
+        )
         self._sweep_until = 0.0
 
     async def run(self) -> None:
@@ -140,7 +142,7 @@
 
     def _needs_segments(self) -> bool:
         """Whether fewer items wait than the runners fed could take."""
-        room = self._dispatcher.runners() * self.state.settings.max_concurrency
+        room = self._dispatcher.upstream_count() * self.state.settings.max_concurrency
         waiting = sum(segment.waiting for segment in self.state.held)
         return (
             not self.state.draining
@@ -156,7 +158,7 @@
         rows = await self.state.store.reader.segments(job.row)
         division = job.row.division
         if len(rows) == division.segments and all(r.done for r, _ in rows.values()):
-            await self.state.store.ending.complete_if_done(job.row.job)
+            await self.state.store.finisher.complete_if_done(job.row.job)
             return False
         own_segments = {
             w.held.segment for w in self.state.held if w.held.job.job == job.row.job
@@ -191,7 +193,7 @@
         state = self.state.fleet.holder_state(row.holder, row.incarnation)
         if state.restarted:
             return True, None
-        if state.heard:
+        if state.alive:
             self._challenges.record_alive(row.holder)
             return False, None
         return await self._challenge(row.holder)
@@ -199,18 +201,18 @@
     async def _challenge(self, holder: InstanceId) -> tuple[bool, Check | None]:
         """Asks a silent holder for a sign of life; silence frees its segments."""
         now = trio.current_time()
-        self._challenges.wait_s = max(
+        self._challenges.response_timeout_s = max(
             self.state.settings.challenge_s,
             _CHALLENGE_WATCH_INTERVALS * self.state.watch_interval_s(),
         )
         try:
             version = await self.state.store.segments.challenge_version(holder)
             unanswered = self._challenges.observe(holder, version, now)
-            if not version and self._challenges.may_ask(holder, now):
+            if not version and self._challenges.may_challenge(holder, now):
                 await self.state.store.segments.challenge(holder, self.state.instance)
                 _log.info("Holder challenged.", holder=holder)
         except (PlatformUnavailableError, AnswerLostError):
-            self._challenges.interrupted()
+            self._challenges.record_outage()
             raise
         return unanswered, Check(challenge_key(holder), version)
 
@@ -230,9 +232,11 @@
             known=known,
             challenge=challenge,
         )
-        outcome = claimed.name.lower() if isinstance(claimed, Claimed) else "claimed"
+        outcome = (
+            claimed.name.lower() if isinstance(claimed, ClaimRefusal) else "claimed"
+        )
         self.state.metrics.claims.inc({"outcome": outcome})
-        if isinstance(claimed, Claimed):
+        if isinstance(claimed, ClaimRefusal):
             return False
         if known is not None:
             _log.info(
--- a/src/coppercleat/batch/_committer.py
+++ b/src/coppercleat/batch/_committer.py
@@ -8,7 +8,7 @@
 import trio
 
 from coppercleat.batch._segment_work import SegmentWork
-from coppercleat.batch._segments import Commit
+from coppercleat.batch._segments import CommitOutcome
 from coppercleat.batch._state import BatchState
 from coppercleat.errors import PlatformUnavailableError
 from coppercleat.observability import part_logger
@@ -51,7 +51,7 @@
                     pause = min(_COMMIT_RETRY_MAX_S, 2 * pause)
                     continue
                 self.state.metrics.commits.inc({"outcome": outcome.name.lower()})
-                if outcome is Commit.DONE:
+                if outcome is CommitOutcome.DONE:
                     segment.remove_committed(chunk)
                 else:
                     self.lose(segment, outcome.value)
@@ -66,7 +66,7 @@
         self.state.poll_requested.set()
         job = segment.held.job.job
         with contextlib.suppress(PlatformUnavailableError, AnswerLostError):
-            if await self.state.store.ending.complete_if_done(job):
+            if await self.state.store.finisher.complete_if_done(job):
                 _log.info("Job ended.", job=job)
 
     def lose(self, segment: SegmentWork, why: str) -> None:
--- a/src/coppercleat/batch/_dispatch_policies.py
+++ b/src/coppercleat/batch/_dispatch_policies.py
@@ -22,7 +22,7 @@
 _REDUCED_DIVISOR = 8
 
 
-class RunnerView(msgspec.Struct, frozen=True, kw_only=True):
+class UpstreamUsage(msgspec.Struct, frozen=True, kw_only=True):
     """What a policy sees of a runner.
 
     Attributes:
@@ -36,48 +36,48 @@
     max_concurrency: int
 
 
-class FeedPolicy(Protocol):
+class DispatchPolicy(Protocol):
     """Decides for one runner; the clock is passed in."""
 
-    def limit(self, view: RunnerView, now: float) -> int:
+    def limit(self, view: UpstreamUsage, now: float) -> int:
         """Returns how many batch items may run now."""
         ...
 
 
-FEED_POLICIES: dict[str, Callable[[], FeedPolicy]] = {}
+DISPATCH_POLICIES: dict[str, Callable[[], DispatchPolicy]] = {}
 
-_P = TypeVar("_P", bound=Callable[[], FeedPolicy])
+_P = TypeVar("_P", bound=Callable[[], DispatchPolicy])
 
 
-def feed_policy(name: str) -> Callable[[_P], _P]:
+def dispatch_policy(name: str) -> Callable[[_P], _P]:
     """Registers a policy under its name in the settings."""
 
     def register(policy: _P) -> _P:
-        FEED_POLICIES[name] = policy
+        DISPATCH_POLICIES[name] = policy
         return policy
 
     return register
 
 
-@feed_policy("none")
+@dispatch_policy("none")
 class UnlimitedPolicy:
     """Feeds as much as the runner may take, whatever happens online."""
 
-    def limit(self, view: RunnerView, now: float) -> int:
-        """See ``FeedPolicy.limit``."""
+    def limit(self, view: UpstreamUsage, now: float) -> int:
+        """See ``DispatchPolicy.limit``."""
         return view.max_concurrency
 
 
-@feed_policy("static")
+@dispatch_policy("static")
 class StaticSharePolicy:
     """Feeds a fixed quarter, whatever happens online."""
 
-    def limit(self, view: RunnerView, now: float) -> int:
-        """See ``FeedPolicy.limit``."""
+    def limit(self, view: UpstreamUsage, now: float) -> int:
+        """See ``DispatchPolicy.limit``."""
         return max(1, view.max_concurrency // _STATIC_DIVISOR)
 
 
-@feed_policy("yield")
+@dispatch_policy("yield")
 class YieldToOnline:
     """Lets go at once when an online request arrives; grows back in steps.
 
@@ -90,8 +90,8 @@
     def __init__(self) -> None:
         self._last_online_at = float("-inf")
 
-    def limit(self, view: RunnerView, now: float) -> int:
-        """See ``FeedPolicy.limit``."""
+    def limit(self, view: UpstreamUsage, now: float) -> int:
+        """See ``DispatchPolicy.limit``."""
         if view.online:
             self._last_online_at = now
             return 0
@@ -106,7 +106,7 @@
         return min(view.max_concurrency, _INITIAL_LIMIT << int(doublings))
 
 
-@feed_policy("reserve")
+@dispatch_policy("reserve")
 class ReserveForOnline(YieldToOnline):
     """Yields, and stays light for a while on a runner that had online requests.
 
--- a/src/coppercleat/batch/_dispatcher.py
+++ b/src/coppercleat/batch/_dispatcher.py
@@ -8,7 +8,11 @@
 import attrs
 import trio
 
-from coppercleat.batch._dispatch_policies import FEED_POLICIES, FeedPolicy, RunnerView
+from coppercleat.batch._dispatch_policies import (
+    DISPATCH_POLICIES,
+    DispatchPolicy,
+    UpstreamUsage,
+)
 from coppercleat.batch._items import ItemResult
 from coppercleat.batch._segment_work import ItemWork, SegmentWork
 from coppercleat.batch._state import BatchState
@@ -48,7 +52,7 @@
     """
 
     record: UpstreamRecord
-    policy: FeedPolicy
+    policy: DispatchPolicy
     running: list[_RunningItem] = attrs.field(factory=list)
     retry_at: float = 0.0
     retired: bool = False
@@ -91,7 +95,7 @@
             for upstream, dispatch in self._upstreams.items()
         }
 
-    def runners(self) -> int:
+    def upstream_count(self) -> int:
         """Returns how many runners are fed from here."""
         return sum(not dispatch.retired for dispatch in self._upstreams.values())
 
@@ -136,14 +140,17 @@
                 breaker.started()
 
     def _refresh_upstreams(self) -> None:
-        records = {record.upstream: record for record in self.state.fleet.fed()}
+        records = {
+            record.upstream: record
+            for record in self.state.fleet.dispatched_upstreams()
+        }
         for upstream, dispatch in list(self._upstreams.items()):
             dispatch.retired = records.get(upstream) is not dispatch.record
             if dispatch.retired and not dispatch.running:
                 del self._upstreams[upstream]
         for upstream, record in records.items():
             if upstream not in self._upstreams:
-                policy = FEED_POLICIES[self.state.settings.policy]()
+                policy = DISPATCH_POLICIES[self.state.settings.policy]()
                 self._upstreams[upstream] = _UpstreamDispatch(record, policy)
 
     def services(self) -> set[str]:
@@ -155,7 +162,7 @@
         }
 
     def _limit(self, dispatch: _UpstreamDispatch, now: float) -> int:
-        view = RunnerView(
+        view = UpstreamUsage(
             online=self.state.fleet.online_total(dispatch.record.upstream),
             batch=len(dispatch.running),
             max_concurrency=self.state.settings.max_concurrency,
--- a/src/coppercleat/batch/_items.py
+++ b/src/coppercleat/batch/_items.py
@@ -46,7 +46,7 @@
 _line_decoder = msgspec.json.Decoder(Item)
 
 
-class ItemLines:
+class ItemLineDecoder:
     """Decodes JSON Lines that arrive in any division.
 
     Attributes:
--- a/src/coppercleat/batch/_jobs.py
+++ b/src/coppercleat/batch/_jobs.py
@@ -70,17 +70,17 @@
 
 
 def divide(
-    items: int, *, runners: int, chunk_items: int, segment_chunks: int
+    items: int, *, upstream_count: int, chunk_items: int, segment_chunks: int
 ) -> Division:
     """Divides a job so that all runners get work and few writes are needed.
 
     Args:
       items: Items of the job, at least one.
-      runners: Upstreams that can run them.
+      upstream_count: Upstreams that can run them.
       chunk_items: Items in a chunk at most.
       segment_chunks: Chunks in a segment at most.
     """
-    fair = math.ceil(items / (_SEGMENTS_PER_RUNNER * max(1, runners)))
+    fair = math.ceil(items / (_SEGMENTS_PER_RUNNER * max(1, upstream_count)))
     segment_items = min(
         max(fair, _MIN_SEGMENT_ITEMS), chunk_items * segment_chunks, items
     )
--- a/src/coppercleat/batch/_lateness_monitor.py
+++ b/src/coppercleat/batch/_lateness_monitor.py
@@ -28,7 +28,9 @@
     def watch(self, jobs: Sequence[OpenJob]) -> None:
         """Takes all open jobs; keeps those that fall to this instance."""
         watched = [
-            j for j in jobs if j.row.due_at and self.state.fleet.is_steward(j.row.job)
+            j
+            for j in jobs
+            if j.row.due_at and self.state.fleet.monitors_due_time(j.row.job)
         ]
         self._late &= {job.row.job for job in watched}
         self._watched = watched
--- a/src/coppercleat/batch/_ports.py
+++ b/src/coppercleat/batch/_ports.py
@@ -14,7 +14,7 @@
 class Fleet(Protocol):
     """What the runner needs to know of upstreams and other instances."""
 
-    def fed(self) -> list[UpstreamRecord]:
+    def dispatched_upstreams(self) -> list[UpstreamRecord]:
         """Returns the upstreams that this instance feeds, those leaving not."""
         ...
 
@@ -34,7 +34,7 @@
         """Returns how many instances are thought alive."""
         ...
 
-    def is_steward(self, job: JobId) -> bool:
+    def monitors_due_time(self, job: JobId) -> bool:
         """Returns whether this instance watches over a job's due time."""
         ...
 
@@ -44,9 +44,9 @@
     """What is known of a holder.
 
     Attributes:
-      heard: Whether peers hear it.
+      alive: Whether peers hear it.
       restarted: Whether a later start of the same instance is known.
     """
 
-    heard: bool
+    alive: bool
     restarted: bool
--- a/src/coppercleat/batch/_runner.py
+++ b/src/coppercleat/batch/_runner.py
@@ -56,7 +56,7 @@
         """Lets go of a runner at once if online requests have come to it."""
         self._dispatcher.online_changed(upstream)
 
-    def hint(self) -> None:
+    def poll_now(self) -> None:
         """Looks for work and for cancelled jobs now rather than at the next poll."""
         self.state.poll_requested.set()
 
--- a/src/coppercleat/batch/_segments.py
+++ b/src/coppercleat/batch/_segments.py
@@ -67,7 +67,7 @@
     version: int
 
 
-class Claimed(enum.Enum):
+class ClaimRefusal(enum.Enum):
     """Sentinels: why a segment was not claimed."""
 
     TAKEN = "another instance claimed it first"
@@ -75,7 +75,7 @@
     JOB_ENDED = "the job has ended"
 
 
-class Commit(enum.Enum):
+class CommitOutcome(enum.Enum):
     """How the commit of a chunk ended."""
 
     DONE = "the chunk's results are readable"
@@ -106,7 +106,7 @@
         incarnation: int,
         known: tuple[SegmentRow, int] | None,
         challenge: Check | None = None,
-    ) -> HeldSegment | Claimed:
+    ) -> HeldSegment | ClaimRefusal:
         """Claims a segment, or takes it over from another holder.
 
         Args:
@@ -119,9 +119,9 @@
           challenge: A further condition: the holder did not answer.
         """
         if job.state is not JobState.OPEN:
-            return Claimed.JOB_ENDED
+            return ClaimRefusal.JOB_ENDED
         if known is not None and known[0].done:
-            return Claimed.DONE
+            return ClaimRefusal.DONE
         chunks = job.division.chunks(segment)
         results = known[0].results if known else ("",) * chunks
         row = SegmentRow(holder=instance, incarnation=incarnation, results=results)
@@ -140,7 +140,7 @@
             return await self._verify_claim(job, job_version, segment, row, known)
         if isinstance(result, TransactionRefused):
             ended = job_key(job.job) in result.reason
-            return Claimed.JOB_ENDED if ended else Claimed.TAKEN
+            return ClaimRefusal.JOB_ENDED if ended else ClaimRefusal.TAKEN
         return HeldSegment(
             job=job,
             job_version=job_version,
@@ -156,14 +156,14 @@
         segment: int,
         row: SegmentRow,
         known: tuple[SegmentRow, int] | None,
-    ) -> HeldSegment | Claimed:
+    ) -> HeldSegment | ClaimRefusal:
         """Reads a claim back whose answer was lost."""
         key = segment_key(job.job, segment)
         found = (await self.platform.read([key])).get(key)
         if found is None or decode_row(found, SegmentRow) != row:
-            return Claimed.TAKEN
+            return ClaimRefusal.TAKEN
         if known is not None and found.version == known[1]:
-            return Claimed.TAKEN
+            return ClaimRefusal.TAKEN
         return HeldSegment(
             job=job,
             job_version=job_version,
@@ -189,7 +189,7 @@
 
     async def commit(
         self, held: HeldSegment, chunk: int, results: Sequence[ItemResult]
-    ) -> Commit:
+    ) -> CommitOutcome:
         """Makes a chunk's results readable, if the segment is still held.
 
         The held segment is brought up to date. A failure leaves it as it was,
@@ -204,13 +204,13 @@
         )
         await self.platform.put_object(name, msgspec.json.encode(results))
         outcome = await self._write_result_pointer(held, chunk, name)
-        if outcome is not Commit.DONE:
+        if outcome is not CommitOutcome.DONE:
             await self._delete_orphan(name)
         return outcome
 
     async def _write_result_pointer(
         self, held: HeldSegment, chunk: int, name: str
-    ) -> Commit:
+    ) -> CommitOutcome:
         results = list(held.row.results)
         results[chunk] = name
         row = msgspec.structs.replace(held.row, results=tuple(results))
@@ -229,7 +229,7 @@
                 result = None
             if isinstance(result, dict):
                 held.row, held.version = row, result[key]
-                return Commit.DONE
+                return CommitOutcome.DONE
             verified = await self._verify_commit(held, row, chunk)
             if verified is not None:
                 return verified
@@ -237,7 +237,7 @@
 
     async def _verify_commit(
         self, held: HeldSegment, row: SegmentRow, chunk: int
-    ) -> Commit | None:
+    ) -> CommitOutcome | None:
         """Reads rows back; None means that the commit may be tried again.
 
         The pointer alone tells whether the commit took effect: the row may
@@ -255,10 +255,10 @@
             held.row = row
             if same_holder:
                 held.row, held.version = current, found.version
-            return Commit.DONE
+            return CommitOutcome.DONE
         if decode_row(job, JobRow).state is not JobState.OPEN:
-            return Commit.JOB_ENDED
-        return Commit.TAKEN_OVER if found.version != held.version else None
+            return CommitOutcome.JOB_ENDED
+        return CommitOutcome.TAKEN_OVER if found.version != held.version else None
 
     async def _delete_orphan(self, name: str) -> None:
         try:
--- a/src/coppercleat/batch/_store.py
+++ b/src/coppercleat/batch/_store.py
@@ -22,7 +22,7 @@
       reader: Reads jobs and results.
       acceptance: Accepts jobs.
       segments: Claims segments and commits their chunks.
-      ending: Completes and cancels jobs.
+      finisher: Completes and cancels jobs.
     """
 
     def __init__(
@@ -42,4 +42,4 @@
         self.reader = JobReader(platform)
         self.acceptance = JobAcceptance(platform, self.reader, clock=clock, rng=rng)
         self.segments = SegmentStore(platform, rng=rng)
-        self.ending = JobFinisher(platform, self.reader, clock=clock)
+        self.finisher = JobFinisher(platform, self.reader, clock=clock)
--- a/src/coppercleat/instance/_fleet.py
+++ b/src/coppercleat/instance/_fleet.py
@@ -116,9 +116,12 @@
     def _followed(self, nodes: tuple[Node, ...]) -> list[Node]:
         upstreams = [node for node in nodes if node.role is not NodeRole.ENTRY]
         instance = self.settings.instance
-        fed = self._fed_ids()
+        dispatched_upstreams = self._fed_ids()
         return select_subset(
-            instance.instance_id, instance.zone_id, upstreams, always_tracked=fed
+            instance.instance_id,
+            instance.zone_id,
+            upstreams,
+            always_tracked=dispatched_upstreams,
         )
 
     def _open(self, record: UpstreamRecord) -> None:
@@ -167,7 +170,7 @@
 
     # What the batch runner asks.
 
-    def fed(self) -> list[UpstreamRecord]:
+    def dispatched_upstreams(self) -> list[UpstreamRecord]:
         """See ``coppercleat.batch``: upstreams this instance feeds."""
         now = trio.current_time()
         return [
@@ -200,7 +203,7 @@
         member = self.detector.members.get(holder)
         line = member.line if member else None
         return HolderState(
-            heard=self.detector.is_alive(holder, now),
+            alive=self.detector.is_alive(holder, now),
             restarted=line is not None and line.incarnation > incarnation,
         )
 
@@ -226,7 +229,7 @@
         """Returns the record of an upstream, if it is followed."""
         return self.table.get(upstream)
 
-    def is_steward(self, job: JobId) -> bool:
+    def monitors_due_time(self, job: JobId) -> bool:
         """Returns whether this instance watches over a job's due time."""
         return rendezvous_owner(job, self.alive()) == self.settings.instance.id
 
--- a/src/coppercleat/instance/_instance.py
+++ b/src/coppercleat/instance/_instance.py
@@ -18,7 +18,7 @@
 from coppercleat.membership import Detector, MemberLine
 from coppercleat.observability import EventRing, Metrics, part_logger
 from coppercleat.online import IdempotencyStore, OnlineServices, Pipeline, pick_version
-from coppercleat.orders import OrderKeeper
+from coppercleat.orders import VersionReconciler
 from coppercleat.platform import StoreClient
 from coppercleat.quarantine import (
     TRIAL_STAGGER_S,
@@ -112,7 +112,7 @@
                 pick_version=self._pick_version,
             )
         )
-        self.orders = OrderKeeper(
+        self.orders = VersionReconciler(
             instance=settings.instance.instance_id,
             incarnation=lambda: self.detector.own.incarnation,
             settings=settings.orders,
@@ -131,7 +131,7 @@
         self.pipeline = Pipeline(self._online_services())
         self.fleet.on_leaving = self.peers.spread_leaving
         self.peers.on_arrivals = self.batch.online_changed
-        self.peers.on_job_hint = self.batch.hint
+        self.peers.on_job_hint = self.batch.poll_now
 
     def _own_line(self) -> MemberLine:
         own = self.settings.instance
--- a/src/coppercleat/orders/__init__.py
+++ b/src/coppercleat/orders/__init__.py
@@ -1,17 +1,22 @@
 """Orders to engines: which versions to load, by one fenced holder a service."""
 
-from coppercleat.orders._lease import Lease, LeaseRow, LeaseStore, LeaseWatch
-from coppercleat.orders._plan import Order, Wanted, plan_orders, wanted_versions
-from coppercleat.orders._reconciler import OrderKeeper
+from coppercleat.orders._lease import Lease, LeaseExpiryMonitor, LeaseRow, LeaseStore
+from coppercleat.orders._plan import (
+    DesiredVersions,
+    Order,
+    desired_versions,
+    plan_orders,
+)
+from coppercleat.orders._reconciler import VersionReconciler
 
 __all__ = [
     "Lease",
     "LeaseRow",
     "LeaseStore",
-    "LeaseWatch",
+    "LeaseExpiryMonitor",
     "Order",
-    "OrderKeeper",
-    "Wanted",
+    "VersionReconciler",
+    "DesiredVersions",
     "plan_orders",
-    "wanted_versions",
+    "desired_versions",
 ]
--- a/src/coppercleat/orders/_lease.py
+++ b/src/coppercleat/orders/_lease.py
@@ -58,7 +58,7 @@
         return self.orders_allowed_at <= now and now + max_order_s < self.valid_until
 
 
-class LeaseWatch:
+class LeaseExpiryMonitor:
     """Tells when a row of another holder has stood still for long enough.
 
     Attributes:
--- a/src/coppercleat/orders/_plan.py
+++ b/src/coppercleat/orders/_plan.py
@@ -13,7 +13,7 @@
 UNLOAD = "unload"
 
 
-class Wanted(msgspec.Struct, frozen=True, kw_only=True):
+class DesiredVersions(msgspec.Struct, frozen=True, kw_only=True):
     """What a service's engines should have.
 
     Attributes:
@@ -33,7 +33,9 @@
     version: str
 
 
-def wanted_versions(deployments: Iterable[Deployment], service: str) -> Wanted:
+def desired_versions(
+    deployments: Iterable[Deployment], service: str
+) -> DesiredVersions:
     """Returns what all deployments of a service want together.
 
     A version of weight 0 is kept off; an adapter is loaded like a version.
@@ -46,11 +48,11 @@
         versions.update(v for v, weight in deployment.versions.items() if weight > 0)
         versions.update(deployment.adapters)
         min_serving = max(min_serving, deployment.min_serving)
-    return Wanted(versions=frozenset(versions), min_serving=min_serving)
+    return DesiredVersions(versions=frozenset(versions), min_serving=min_serving)
 
 
 def plan_orders(
-    wanted: Wanted,
+    wanted: DesiredVersions,
     loaded: Mapping[UpstreamId, Collection[str]],
     *,
     max_loads: int,
@@ -95,7 +97,7 @@
 
 
 def _enough_serving(
-    wanted: Wanted, loaded: Mapping[UpstreamId, Collection[str]]
+    wanted: DesiredVersions, loaded: Mapping[UpstreamId, Collection[str]]
 ) -> bool:
     needed = min(wanted.min_serving, len(loaded))
     return all(_serving_count(v, loaded) >= needed for v in wanted.versions)
--- a/src/coppercleat/orders/_reconciler.py
+++ b/src/coppercleat/orders/_reconciler.py
@@ -11,12 +11,12 @@
 from coppercleat.errors import CoppercleatError
 from coppercleat.ids import InstanceId, UpstreamId
 from coppercleat.observability import Metrics, part_logger
-from coppercleat.orders._lease import Lease, LeaseStore, LeaseWatch
+from coppercleat.orders._lease import Lease, LeaseExpiryMonitor, LeaseStore
 from coppercleat.orders._plan import (
+    DesiredVersions,
     Order,
-    Wanted,
+    desired_versions,
     plan_orders,
-    wanted_versions,
 )
 from coppercleat.routing import UpstreamRecord, rendezvous_owner
 from coppercleat.settings import OrderSettings
@@ -46,7 +46,7 @@
         ...
 
 
-class OrderKeeper:
+class VersionReconciler:
     """Holds the leases of the services that fall to this instance.
 
     Attributes:
@@ -72,7 +72,7 @@
         self.metrics = metrics
         self.leases: dict[str, Lease] = {}
         self._store = LeaseStore(platform, duration_s=settings.lease_s)
-        self._expiry_monitors: dict[str, LeaseWatch] = {}
+        self._expiry_monitors: dict[str, LeaseExpiryMonitor] = {}
         self._seen_revision = 0
         self._seen_at = 0.0
 
@@ -107,7 +107,7 @@
         if lease is None:
             return
         now = trio.current_time()
-        wanted = wanted_versions(
+        wanted = desired_versions(
             (body for _, body in self.document.bodies(Kind.DEPLOYMENT)), service
         )
         loaded = await self._query_loaded_versions(service)
@@ -135,7 +135,7 @@
         row, version = found
         own = row is not None and row.holder == self.instance
         monitor = self._expiry_monitors.setdefault(
-            service, LeaseWatch(duration_s=self.settings.lease_s)
+            service, LeaseExpiryMonitor(duration_s=self.settings.lease_s)
         )
         if row is not None and not own and not monitor.expired(version, now):
             return None
@@ -197,5 +197,5 @@
         )
 
 
-def _drift(wanted: Wanted, loaded: Iterable[list[str]]) -> int:
+def _drift(wanted: DesiredVersions, loaded: Iterable[list[str]]) -> int:
     return sum(set(versions) != wanted.versions for versions in loaded)
--- a/src/coppercleat/rpc/_batch.py
+++ b/src/coppercleat/rpc/_batch.py
@@ -8,7 +8,7 @@
 
 from coppercleat.batch import (
     Item,
-    ItemLines,
+    ItemLineDecoder,
     JobRow,
     JobState,
     Progress,
@@ -69,13 +69,13 @@
             submitted = await self.instance.jobs.acceptance.submit(
                 submission,
                 items,
-                runners=self._runners(deployment),
+                upstream_count=self._runners(deployment),
                 max_items=batch.max_job_items,
                 chunk_items=batch.chunk_items,
                 segment_chunks=batch.segment_chunks,
             )
             if not submitted.resent:
-                self.instance.batch.hint()
+                self.instance.batch.poll_now()
                 self.instance.peers.hint_job(submitted.row.job)
             return batch_pb.SubmitResponse(
                 job_id=submitted.row.job,
@@ -111,8 +111,8 @@
         """Cancels a job; no result appears once this has returned."""
         with typed_errors():
             row = await self._own_job(request.job_id, caller(self.instance, ctx))
-            row = await self.instance.jobs.ending.cancel(row.job)
-            self.instance.batch.hint()
+            row = await self.instance.jobs.finisher.cancel(row.job)
+            self.instance.batch.poll_now()
             self.instance.peers.hint_job(row.job)
             return await self._with_progress(row)
 
@@ -173,7 +173,7 @@
         body = await self.instance.platform.get_object(name)
         if body is None:
             raise NotFoundError(f"There is no object {name!r}")
-        lines = ItemLines()
+        lines = ItemLineDecoder()
         yield lines.feed(body)
         yield lines.finish()
 
@@ -223,7 +223,7 @@
     requests: AsyncIterator[batch_pb.SubmitRequest],
 ) -> AsyncIterator[list[Item]]:
     """Yields the items of the lines that follow the spec."""
-    lines = ItemLines()
+    lines = ItemLineDecoder()
     async for request in requests:
         part = request.part
         if part is None or part.field != "lines":
--- a/tests/exploration/_models.py
+++ b/tests/exploration/_models.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from coppercleat.batch import (
-    Claimed,
-    Commit,
+    ClaimRefusal,
+    CommitOutcome,
     Division,
     ItemResult,
     JobRow,
@@ -70,21 +70,21 @@
         held = await store.segments.claim(
             job, version, 0, instance=name, incarnation=1, known=known
         )
-        if isinstance(held, Claimed):
+        if isinstance(held, ClaimRefusal):
             return held
         for chunk, done in enumerate(held.row.results):
             if done:
                 continue
             results = [ItemResult(index=chunk, text=f"by {name}")]
             outcome = await store.segments.commit(held, chunk, results)
-            if outcome is not Commit.DONE:
+            if outcome is not CommitOutcome.DONE:
                 return outcome
             self.committed[chunk] = name
-        return await store.ending.complete_if_done("j")
+        return await store.finisher.complete_if_done("j")
 
     async def _canceller(self, platform):
         store = JobStore(platform, clock=lambda: 2.0, rng=random.Random(3))
-        row = await store.ending.cancel("j")
+        row = await store.finisher.cancel("j")
         self.cancel_returned = True
         return row
 
--- a/tests/features/steps/decision_steps.py
+++ b/tests/features/steps/decision_steps.py
@@ -9,15 +9,15 @@
 from hypothesis import strategies as st
 
 from coppercleat.batch import (
-    FEED_POLICIES,
-    Challenges,
-    ClaimChooser,
+    DISPATCH_POLICIES,
+    ChallengeTracker,
+    ClaimScheduler,
     Division,
-    ItemLines,
+    ItemLineDecoder,
     JobRow,
     OpenJob,
     Progress,
-    RunnerView,
+    UpstreamUsage,
     divide,
     forecast,
 )
@@ -220,7 +220,7 @@
 
 
 def feed_lines(data):
-    lines = ItemLines()
+    lines = ItemLineDecoder()
     lines.feed(data)
     lines.finish()
 
@@ -261,10 +261,10 @@
 
 @then("the holder {verdict}")
 def holder(context, verdict):
-    challenges, now, free = Challenges(wait_s=2.5), 0.0, False
+    challenges, now, free = ChallengeTracker(response_timeout_s=2.5), 0.0, False
     for event in events_of(context):
         if event == "i":
-            challenges.interrupted()
+            challenges.record_outage()
         elif event[0] == "w":
             now += float(event[1:])
         else:
@@ -274,13 +274,13 @@
 
 @when("a holder answers {count:d} challenges in a row")
 def answers(context, count):
-    challenges, now = Challenges(wait_s=2.5), 0.0
+    challenges, now = ChallengeTracker(response_timeout_s=2.5), 0.0
     context.pauses = []
     for version in range(1, count + 1):
         challenges.observe("h", version, now)
         challenges.observe("h", 0, now)
         start = now
-        while not challenges.may_ask("h", now):
+        while not challenges.may_challenge("h", now):
             now += 1.0
         context.pauses.append(int(now - start))
 
@@ -361,7 +361,7 @@
     row = context.active_outline
     found = divide(
         int(row["items"]),
-        runners=int(row["runners"]),
+        upstream_count=int(row["runners"]),
         chunk_items=512,
         segment_chunks=8,
     )
@@ -381,12 +381,16 @@
 
 @then("it allows {limit:d} items")
 def allows(context, limit):
-    policy, now, allowed = FEED_POLICIES[context.active_outline["policy"]](), 0.0, None
+    policy, now, allowed = (
+        DISPATCH_POLICIES[context.active_outline["policy"]](),
+        0.0,
+        None,
+    )
     for event in events_of(context):
         if event[0] == "w":
             now += int(event[1:]) / 1000
             continue
-        view = RunnerView(online=int(event[1:]), batch=0, max_concurrency=32)
+        view = UpstreamUsage(online=int(event[1:]), batch=0, max_concurrency=32)
         allowed = policy.limit(view, now)
     assert allowed == limit, allowed
 
@@ -458,7 +462,7 @@
         OpenJob(job("small", due=20, tenant="s"), 1),
         OpenJob(job("large", items=670000, due=10, tenant="l"), 1),
     ]
-    chooser, held = ClaimChooser(), {}
+    chooser, held = ClaimScheduler(), {}
     context.turns = []
     for _ in range(turns):
         first = chooser.order(jobs, held=held, weights={})[0].row
--- a/tests/features/steps/order_steps.py
+++ b/tests/features/steps/order_steps.py
@@ -7,7 +7,7 @@
 from behave import then, when
 
 from coppercleat.emulator import expected_text
-from coppercleat.orders import Wanted, plan_orders
+from coppercleat.orders import DesiredVersions, plan_orders
 from tests.harness import until
 from tests.harness.scenario import Outcome, act_on_entry, engines, entry
 
@@ -154,7 +154,7 @@
     }
     versions = frozenset(row["wanted"].replace("-", "").split(",")) - {""}
     planned = plan_orders(
-        Wanted(versions=versions, min_serving=1),
+        DesiredVersions(versions=versions, min_serving=1),
         loaded,
         max_loads=2,
         may_unload=row["unload"] == "yes",
