--- a/src/coppercleat/batch/__init__.py
+++ b/src/coppercleat/batch/__init__.py
@@ -1,4 +1,4 @@
-"""Batch jobs: accepted means done once, readable, on time or known to be late."""
+"""Batch jobs: durable acceptance, exactly-once results and deadline forecasts."""
 
 from coppercleat.batch._acceptance import Submission, SubmissionResult
 from coppercleat.batch._challenges import ChallengeTracker
--- a/src/coppercleat/batch/_acceptance.py
+++ b/src/coppercleat/batch/_acceptance.py
@@ -1,4 +1,4 @@
-"""Accepts jobs: input stored first, then one transaction that makes it a job."""
+"""Accepts jobs: stores the input, then creates the job in one transaction."""
 
 from __future__ import annotations
 
@@ -40,13 +40,18 @@
 )
 
 _MAX_TRANSACTION_ATTEMPTS = 4
-"""Transactions whose answers may be lost before a submitter is told so."""
 
 _log = part_logger("batch")
 
 
 class Submission(msgspec.Struct, frozen=True, kw_only=True):
-    """What a submitter asks; ``due_at`` is Unix seconds, 0 for none."""
+    """A request to run a job.
+
+    Attributes:
+      job_key: Idempotency key of the submission, empty for none.
+      due_at: Unix time in seconds, 0 for none.
+      max_tokens: Token limit of each item without its own, 0 for the deployment's.
+    """
 
     tenant: TenantId
     deployment: DeploymentId
@@ -56,7 +61,7 @@
 
 
 class SubmissionResult(msgspec.Struct, frozen=True):
-    """An accepted job, and whether it had been accepted before."""
+    """An accepted job, and whether an earlier submission had created it."""
 
     row: JobRow
     resent: bool
@@ -64,7 +69,7 @@
 
 @attrs.define
 class _StoredInput:
-    """How much of a submission's input has been stored."""
+    """Number of items and objects stored for a submission, and their hash."""
 
     items: int = 0
     parts: int = 0
@@ -72,7 +77,7 @@
 
 
 class JobAcceptance:
-    """Accepts each job once."""
+    """Accepts jobs, and each idempotency key only once."""
 
     def __init__(
         self,
@@ -82,13 +87,13 @@
         clock: Callable[[], float],
         rng: random.Random,
     ) -> None:
-        """Prepares the acceptance.
+        """Initializes the acceptance.
 
         Args:
-          platform: Where rows and objects are.
-          reader: Finds jobs accepted before.
-          clock: Gives Unix time in seconds.
-          rng: Source of ids.
+          platform: Storage of rows and objects.
+          reader: Reads jobs accepted earlier.
+          clock: Returns Unix time in seconds.
+          rng: Source of job ids.
         """
         self.platform = platform
         self._reader = reader
@@ -105,20 +110,20 @@
         chunk_items: int,
         segment_chunks: int,
     ) -> SubmissionResult:
-        """Accepts a job durably, or refuses it whole.
+        """Stores a job durably, or rejects all of it.
 
         Args:
-          submission: What is asked.
-          items: The items, in lists of any length.
-          upstream_count: Upstreams that can run them.
-          max_items: Items in a job at most.
-          chunk_items: Items in a chunk at most.
-          segment_chunks: Chunks in a segment at most.
+          submission: The submitted job.
+          items: The job's items, in lists of any length.
+          upstream_count: Number of upstreams that can run the items.
+          max_items: Maximum number of items in a job.
+          chunk_items: Maximum number of items in a chunk.
+          segment_chunks: Maximum number of chunks in a segment.
 
         Raises:
-          InvalidRequestError: There are no items, too many, or wrong lines.
-          ConflictError: The key belongs to a job with other content.
-          AnswerLostError: The platform never said; send the same job again.
+          InvalidRequestError: There are no items, too many, or invalid lines.
+          ConflictError: The key belongs to a job with different content.
+          AnswerLostError: The outcome is unknown; submit the same job again.
         """
         job = JobId(random_token(self._rng))
         stored = _StoredInput()
@@ -157,7 +162,7 @@
         max_items: int,
         stored: _StoredInput,
     ) -> None:
-        """Stores the input in parts, and counts and hashes it."""
+        """Stores the input as objects, and counts and hashes its items."""
         parameters = [submission.deployment, submission.due_at, submission.max_tokens]
         stored.digest.update(msgspec.json.encode(parameters))
         buffer: list[Item] = []
@@ -188,12 +193,16 @@
         await self.platform.put_object(input_object_name(job, stored.parts - 1), body)
 
     async def _discard_input(self, job: JobId, parts: int) -> None:
-        """Removes input that belongs to no job; what fails is collected later."""
+        """Deletes the input of a job that was not created, if possible."""
         try:
             for part in range(parts):
                 await self.platform.delete_object(input_object_name(job, part))
         except (PlatformUnavailableError, AnswerLostError) as error:
-            _log.info("Input of no job stays.", job=job, reason=str(error))
+            _log.info(
+                "Orphaned input objects could not be deleted.",
+                job=job,
+                reason=str(error),
+            )
 
     async def _accept(self, row: JobRow) -> SubmissionResult:
         key = idempotency_row_key(row.tenant, row.job_key)
@@ -227,7 +236,11 @@
         raise AnswerLostError("The platform did not say whether the job was accepted")
 
     async def _find_existing(self, row: JobRow, key: str) -> SubmissionResult | None:
-        """Finds the job that a key already means, or this very one."""
+        """Returns the job already stored for the key, or this one if it is stored.
+
+        Raises:
+          ConflictError: The key belongs to a job with different content.
+        """
         if not row.job_key:
             rows = await self.platform.read([job_key(row.job)])
             return SubmissionResult(row, resent=False) if rows else None
--- a/src/coppercleat/batch/_challenges.py
+++ b/src/coppercleat/batch/_challenges.py
@@ -1,9 +1,8 @@
-"""Asks silent holders for a sign of life before their work is taken over.
+"""Liveness challenges to segment holders before a takeover.
 
-A holder renews nothing while all is well. Only when peers no longer hear it
-is a challenge row written; a holder that lives and reaches the platform
-removes it at its next poll. One that does not answer within the bound loses
-its segments. Writes therefore grow with failures, not with the fleet.
+Holders renew no lease. Once peers receive no heartbeats of a holder, one of them
+writes a challenge row, which a live holder deletes at its next poll. A holder that
+does not respond in time loses its segments.
 """
 
 from __future__ import annotations
@@ -18,7 +17,14 @@
 
 @attrs.define
 class _HolderChallenge:
-    """What is known of one holder's challenge row."""
+    """State of the challenges to one holder.
+
+    Attributes:
+      version: Storage version of the pending challenge row, 0 for none.
+      first_seen_at: When that version was first read.
+      retry_delay_s: Delay of the next challenge after a response.
+      retry_not_before: Time before which the holder is not challenged again.
+    """
 
     version: int = 0
     first_seen_at: float = 0.0
@@ -27,10 +33,10 @@
 
 
 class ChallengeTracker:
-    """Challenges as one instance sees them; the clock is passed in.
+    """Tracks pending challenges and how long they have had no response.
 
     Attributes:
-      response_timeout_s: How long a holder has for its answer, in seconds.
+      response_timeout_s: Seconds after which a missing response permits a takeover.
     """
 
     def __init__(self, *, response_timeout_s: float) -> None:
@@ -38,24 +44,24 @@
         self._challenges_by_holder: dict[InstanceId, _HolderChallenge] = {}
 
     def may_challenge(self, holder: InstanceId, now: float) -> bool:
-        """Returns whether to challenge a holder that has no challenge open.
+        """Returns whether to challenge a holder that has no pending challenge.
 
-        A holder that answers although no peer hears it is cut off from some
-        of them; asking it again is put off for longer each time.
+        A holder that responds without being heard is partitioned from its peers; it
+        is challenged again after an exponential delay.
         """
         challenge = self._challenges_by_holder.get(holder)
         return challenge is None or now >= challenge.retry_not_before
 
     def observe(self, holder: InstanceId, version: int, now: float) -> bool:
-        """Takes the version of a holder's challenge row, 0 for none.
+        """Updates the state of a holder's challenge.
 
         Args:
-          holder: Who was asked.
-          version: The row's version, as just read.
-          now: Seconds on this instance's clock.
+          holder: The challenged instance.
+          version: Storage version of its challenge row as just read, 0 for none.
+          now: Monotonic time in seconds.
 
         Returns:
-          Whether the same challenge has stood unanswered for long enough.
+          Whether the holder has not responded within ``response_timeout_s``.
         """
         challenge = self._challenges_by_holder.setdefault(holder, _HolderChallenge())
         if not version:
@@ -70,12 +76,12 @@
         return now - challenge.first_seen_at >= self.response_timeout_s
 
     def record_outage(self) -> None:
-        """Notes that the platform was away: nobody could have answered."""
+        """Restarts all timeouts, since no holder could respond during the outage."""
         for challenge in self._challenges_by_holder.values():
             challenge.version = 0
 
     def record_alive(self, holder: InstanceId) -> None:
-        """Notes that peers hear a holder again."""
+        """Discards the state of a holder whose heartbeats are received again."""
         self._challenges_by_holder.pop(holder, None)
 
     @staticmethod
--- a/src/coppercleat/batch/_claim_scheduler.py
+++ b/src/coppercleat/batch/_claim_scheduler.py
@@ -1,4 +1,4 @@
-"""Chooses which job gets the next free capacity."""
+"""Schedules from which job the next segment is claimed."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 class OpenJob(msgspec.Struct, frozen=True):
-    """An open job and the version of its row."""
+    """An open job's row and its storage version."""
 
     row: JobRow
     version: int
 
 
 class ClaimScheduler:
-    """Orders open jobs: mostly by due time, every fourth time by fair share.
+    """Orders open jobs by due time, and every fourth time by weighted fair share.
 
-    The due time alone would let one tenant with early due times take all; the
-    share alone would make a small job that is due soon wait behind a large one.
+    Due times alone would let one client account with early due times starve the
+    others; fair share alone would delay a small job that is due soon.
     """
 
     def __init__(self) -> None:
@@ -37,12 +37,12 @@
         held: Mapping[TenantId, int],
         weights: Mapping[TenantId, float],
     ) -> list[OpenJob]:
-        """Returns jobs in the order in which to try to claim from them.
+        """Returns jobs in the order in which to claim from them.
 
         Args:
           jobs: Open jobs.
-          held: Segments that this instance holds, by tenant.
-          weights: Share of each tenant; 1 if not named.
+          held: Number of segments held by this instance, by client account.
+          weights: Fair-share weight of each client account; 1 by default.
         """
         self._call_count += 1
         by_due = sorted(jobs, key=lambda job: (_due_time(job), job.row.accepted_at))
--- a/src/coppercleat/batch/_claimer.py
+++ b/src/coppercleat/batch/_claimer.py
@@ -1,4 +1,4 @@
-"""Claims segments, takes over those of silent holders, and gives up others."""
+"""Claims segments, takes over those of failed holders, and releases others."""
 
 from __future__ import annotations
 
@@ -28,48 +28,48 @@
 
 
 class SegmentClaimer:
-    """Keeps this instance in work, as long as there is any."""
+    """Claims segments while the upstreams of this instance have free capacity."""
 
     def __init__(
         self,
         state: BatchState,
         dispatcher: ItemDispatcher,
         *,
-        lose: Callable[[SegmentWork, str], None],
+        stop_work: Callable[[SegmentWork, str], None],
         on_jobs: Callable[[Sequence[OpenJob]], None],
     ) -> None:
-        """Prepares the claiming.
+        """Initializes the claimer.
 
         Args:
-          state: What the parts of the batch path share.
-          dispatcher: Tells which runners there are to feed.
-          lose: Stops all work on a segment.
-          on_jobs: Told of all open jobs at each look.
+          state: Shared batch state of this instance.
+          dispatcher: Dispatcher of the items of claimed segments.
+          stop_work: Called with a segment and a reason to stop all work on it.
+          on_jobs: Called with all open jobs at each poll.
         """
         self.state = state
         self._dispatcher = dispatcher
-        self._lose = lose
+        self._stop_work = stop_work
         self._on_jobs = on_jobs
-        self._chooser = ClaimScheduler()
+        self._scheduler = ClaimScheduler()
         self._challenges = ChallengeTracker(
             response_timeout_s=state.settings.challenge_s
         )
         self._sweep_until = 0.0
 
     async def run(self) -> None:
-        """Looks for work at each hint and poll, until cancelled."""
+        """Claims segments at each poll or request to poll, until cancelled."""
         while True:
             self.state.poll_requested = trio.Event()
             try:
                 await self._claim_round()
             except (PlatformUnavailableError, AnswerLostError):
                 self._sweep_until = trio.current_time() + _SWEEP_PERIOD_S
-            pause = paced(
+            interval_s = paced(
                 self.state.settings.poll_s,
                 self.state.fleet.live(),
                 _MAX_CLAIM_READS_PER_S,
             )
-            with trio.move_on_after(pause * self.state.rng.uniform(0.75, 1.25)):
+            with trio.move_on_after(interval_s * self.state.rng.uniform(0.75, 1.25)):
                 await self.state.poll_requested.wait()
 
     async def _claim_round(self) -> None:
@@ -93,7 +93,7 @@
                 TenantId(name): body.weight
                 for name, body in self.state.document.bodies(Kind.TENANT)
             }
-            ordered = self._chooser.order(jobs, held=held, weights=weights)
+            ordered = self._scheduler.order(jobs, held=held, weights=weights)
             for job in ordered:
                 if await self._claim_from(job):
                     break
@@ -101,7 +101,7 @@
                 return
 
     async def _release_undispatchable(self) -> None:
-        """Gives up segments that no runner fed by this instance can run."""
+        """Releases segments that no upstream dispatched to from here can run."""
         services = self._dispatcher.services()
         busy = self._dispatcher.running_segments()
         for segment in list(self.state.held):
@@ -111,15 +111,16 @@
                 continue
             if segment.commit_lock.locked():
                 continue
-            self._lose(segment, "no runner of its deployment is fed from here")
+            self._stop_work(
+                segment, "this instance dispatches to no upstream of its deployment"
+            )
             await self.state.store.segments.release(segment.held)
 
     async def _sweep(self, jobs: Sequence[OpenJob]) -> None:
-        """Gives up segments in this instance's name that it does not work on.
+        """Releases segments that list this instance as holder but are not processed.
 
-        They are left when the answer to a claim or to a release was lost, or
-        the platform went away in between; while this instance lives, no other
-        would take them over.
+        A lost response to a claim or release, or an outage in between, leaves such
+        rows. No other instance takes them over while this one is alive.
         """
         working = {(w.held.job.job, w.held.segment) for w in self.state.held}
         for job in jobs:
@@ -130,18 +131,20 @@
                     continue
                 if row.holder != self.state.instance:
                     continue
-                left = HeldSegment(
+                unprocessed = HeldSegment(
                     job=job.row,
                     job_version=job.version,
                     segment=number,
                     row=row,
                     version=version,
                 )
-                await self.state.store.segments.release(left)
-                _log.info("Segment swept.", job=job.row.job, segment=number)
+                await self.state.store.segments.release(unprocessed)
+                _log.info(
+                    "Unprocessed segment released.", job=job.row.job, segment=number
+                )
 
     def _needs_segments(self) -> bool:
-        """Whether fewer items wait than the runners fed could take."""
+        """Returns whether fewer items are queued than the upstreams could run."""
         room = self._dispatcher.upstream_count() * self.state.settings.max_concurrency
         waiting = sum(segment.waiting for segment in self.state.held)
         return (
@@ -151,7 +154,7 @@
         )
 
     async def _claim_from(self, job: OpenJob) -> bool:
-        """Claims one segment of a job; returns whether it did."""
+        """Claims a segment of a job; returns whether one was claimed."""
         deployment = self.state.document.get(Kind.DEPLOYMENT, job.row.deployment)
         if deployment is None or deployment.service not in self._dispatcher.services():
             return False
@@ -182,11 +185,10 @@
         return await self._claim_segment(job, number, None, None)
 
     async def _may_take_over(self, row: SegmentRow) -> tuple[bool, Check | None]:
-        """Returns whether a held segment may be taken over, on what condition.
+        """Returns whether a segment may be taken over, and the condition to check.
 
-        A row with this instance's own name, for a segment that it does not
-        work on, is from an earlier start or from a claim whose answer or whose
-        input never came.
+        A row that lists this instance as holder of a segment it does not process
+        is from an earlier incarnation or from a claim that failed halfway.
         """
         if row.holder in (NO_HOLDER, self.state.instance):
             return True, None
@@ -199,7 +201,7 @@
         return await self._challenge(row.holder)
 
     async def _challenge(self, holder: InstanceId) -> tuple[bool, Check | None]:
-        """Asks a silent holder for a sign of life; silence frees its segments."""
+        """Challenges a holder; without a response its segments may be taken over."""
         now = trio.current_time()
         self._challenges.response_timeout_s = max(
             self.state.settings.challenge_s,
@@ -207,14 +209,14 @@
         )
         try:
             version = await self.state.store.segments.challenge_version(holder)
-            unanswered = self._challenges.observe(holder, version, now)
+            timed_out = self._challenges.observe(holder, version, now)
             if not version and self._challenges.may_challenge(holder, now):
                 await self.state.store.segments.challenge(holder, self.state.instance)
-                _log.info("Holder challenged.", holder=holder)
+                _log.info("Liveness challenge sent.", holder=holder)
         except (PlatformUnavailableError, AnswerLostError):
             self._challenges.record_outage()
             raise
-        return unanswered, Check(challenge_key(holder), version)
+        return timed_out, Check(challenge_key(holder), version)
 
     async def _claim_segment(
         self,
@@ -252,7 +254,7 @@
         try:
             items = await self.state.store.segments.read_items(held)
         except NotFoundError as error:
-            _log.error("Input missing.", job=held.job.job, why=error.message)
+            _log.error("Input object is missing.", job=held.job.job, why=error.message)
             return
         except PlatformUnavailableError:
             await self.state.store.segments.release(held)
--- a/src/coppercleat/batch/_committer.py
+++ b/src/coppercleat/batch/_committer.py
@@ -1,4 +1,4 @@
-"""Commits complete chunks, and stops work on segments that are lost."""
+"""Commits complete chunks, and stops work on segments no longer held."""
 
 from __future__ import annotations
 
@@ -21,23 +21,23 @@
 
 
 class ChunkCommitter:
-    """Brings results to the platform, however long it is away."""
+    """Commits chunk results to platform storage."""
 
     def __init__(
         self, state: BatchState, *, stop: Callable[[SegmentWork], None]
     ) -> None:
-        """Prepares the committing.
+        """Initializes the committer.
 
         Args:
-          state: What the parts of the batch path share.
-          stop: Cancels the items of a segment that run.
+          state: Shared batch state of this instance.
+          stop: Cancels the running items of a segment.
         """
         self.state = state
         self._stop = stop
 
     async def commit(self, segment: SegmentWork, chunk: int) -> None:
-        """Commits a chunk, however long the platform is away."""
-        pause = _COMMIT_RETRY_S
+        """Commits a chunk, retrying with backoff while the segment is held."""
+        retry_delay_s = _COMMIT_RETRY_S
         try:
             while not segment.lost:
                 try:
@@ -46,15 +46,15 @@
                             segment.held, chunk, segment.results(chunk)
                         )
                 except (PlatformUnavailableError, AnswerLostError) as error:
-                    _log.warning("Commit put off.", why=error.message)
-                    await trio.sleep(pause * self.state.rng.uniform(0.5, 1.0))
-                    pause = min(_COMMIT_RETRY_MAX_S, 2 * pause)
+                    _log.warning("Commit failed; retrying.", why=error.message)
+                    await trio.sleep(retry_delay_s * self.state.rng.uniform(0.5, 1.0))
+                    retry_delay_s = min(_COMMIT_RETRY_MAX_S, 2 * retry_delay_s)
                     continue
                 self.state.metrics.commits.inc({"outcome": outcome.name.lower()})
                 if outcome is CommitOutcome.DONE:
                     segment.remove_committed(chunk)
                 else:
-                    self.lose(segment, outcome.value)
+                    self.stop_work(segment, outcome.value)
                 break
         finally:
             self.state.uncommitted_chunks -= 1
@@ -69,13 +69,13 @@
             if await self.state.store.finisher.complete_if_done(job):
                 _log.info("Job ended.", job=job)
 
-    def lose(self, segment: SegmentWork, why: str) -> None:
-        """Stops all work on a segment that is no longer this instance's."""
+    def stop_work(self, segment: SegmentWork, why: str) -> None:
+        """Stops all work on a segment that is lost or to be released."""
         segment.lost = True
         self.state.remove_segment(segment)
         self._stop(segment)
         _log.info(
-            "Segment given up.",
+            "Stopped work on a segment.",
             job=segment.held.job.job,
             segment=segment.held.segment,
             why=why,
--- a/src/coppercleat/batch/_dispatch_policies.py
+++ b/src/coppercleat/batch/_dispatch_policies.py
@@ -1,8 +1,7 @@
-"""Policies that decide how many batch items run on a runner at once.
+"""Policies that limit the batch items running on an upstream at once.
 
-Engines admit requests as they come, so whoever feeds batch to a runner sets
-the online tail. One instance feeds each runner; it knows its own online
-requests there at once and its peers' within milliseconds.
+Engines admit requests without priorities, so the number of batch items determines
+the tail latency of online requests.
 """
 
 from __future__ import annotations
@@ -23,12 +22,12 @@
 
 
 class UpstreamUsage(msgspec.Struct, frozen=True, kw_only=True):
-    """What a policy sees of a runner.
+    """Requests and items in flight on an upstream.
 
     Attributes:
-      online: Online requests in flight there, of all instances.
-      batch: Batch items running there.
-      max_concurrency: Items at once at most.
+      online: Online requests in flight, of all instances.
+      batch: Batch items running.
+      max_concurrency: Maximum number of batch items at once.
     """
 
     online: int
@@ -37,10 +36,15 @@
 
 
 class DispatchPolicy(Protocol):
-    """Decides for one runner; the clock is passed in."""
+    """Limits batch items on one upstream."""
 
     def limit(self, view: UpstreamUsage, now: float) -> int:
-        """Returns how many batch items may run now."""
+        """Returns how many batch items may run.
+
+        Args:
+          view: Current use of the upstream.
+          now: Monotonic time in seconds.
+        """
         ...
 
 
@@ -50,7 +54,7 @@
 
 
 def dispatch_policy(name: str) -> Callable[[_P], _P]:
-    """Registers a policy under its name in the settings."""
+    """Returns a decorator that registers a policy under its settings name."""
 
     def register(policy: _P) -> _P:
         DISPATCH_POLICIES[name] = policy
@@ -61,7 +65,7 @@
 
 @dispatch_policy("none")
 class UnlimitedPolicy:
-    """Feeds as much as the runner may take, whatever happens online."""
+    """Allows the maximum, regardless of online requests."""
 
     def limit(self, view: UpstreamUsage, now: float) -> int:
         """See ``DispatchPolicy.limit``."""
@@ -70,7 +74,7 @@
 
 @dispatch_policy("static")
 class StaticSharePolicy:
-    """Feeds a fixed quarter, whatever happens online."""
+    """Allows a fixed fraction of the maximum, regardless of online requests."""
 
     def limit(self, view: UpstreamUsage, now: float) -> int:
         """See ``DispatchPolicy.limit``."""
@@ -79,10 +83,13 @@
 
 @dispatch_policy("yield")
 class YieldToOnline:
-    """Lets go at once when an online request arrives; grows back in steps.
+    """Allows no batch items during online requests, then increases exponentially.
+
+    The limit is zero while online requests are in flight and for a cooldown after
+    the last, then doubles at a fixed interval from an initial value.
 
-    The limit falls to nothing while online requests are in flight and for a
-    short hold after the last, then doubles from a small start.
+    Attributes:
+      reduced_s: Seconds after the cooldown for which the limit stays reduced.
     """
 
     reduced_s = 0.0
@@ -108,10 +115,10 @@
 
 @dispatch_policy("reserve")
 class ReserveForOnline(YieldToOnline):
-    """Yields, and stays light for a while on a runner that had online requests.
+    """Like ``YieldToOnline``, with a reduced limit after recent online requests.
 
-    The next online requests go there (see routing), and a step of few sequences
-    is soon over. Costs batch speed for a shorter online tail.
+    Routing prefers these upstreams for further online requests, which wait less
+    behind a small batch. Trades batch throughput for online tail latency.
     """
 
     reduced_s = ONLINE_ACTIVITY_WINDOW_S
--- a/src/coppercleat/batch/_dispatcher.py
+++ b/src/coppercleat/batch/_dispatcher.py
@@ -1,4 +1,4 @@
-"""Feeds the items of held segments to the runners that fall to this instance."""
+"""Dispatches items of held segments to the upstreams assigned to this instance."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @attrs.define(eq=False)
 class _RunningItem:
-    """An item that runs on a runner."""
+    """An item running on an upstream."""
 
     work: ItemWork
     segment: SegmentWork
@@ -44,11 +44,15 @@
 
 @attrs.define(eq=False)
 class _UpstreamDispatch:
-    """What this instance feeds to one runner.
+    """Items dispatched to one upstream.
 
     Attributes:
-      retired: Whether another instance feeds it now, or it is leaving; what
-        runs may end, and nothing new is begun.
+      record: Routing record of the upstream.
+      policy: Limits the items running at once.
+      running: Items running, the latest last.
+      retry_at: Time before which no item is started, on trio's clock.
+      retired: Whether the upstream is draining, unavailable or assigned to another
+        instance; running items may finish, but none is started.
     """
 
     record: UpstreamRecord
@@ -59,16 +63,16 @@
 
 
 class ItemDispatcher:
-    """Starts items on runners, lets go of them, and gathers what they give."""
+    """Starts and preempts items on upstreams, and collects their results."""
 
     def __init__(
         self, state: BatchState, *, on_chunk: Callable[[SegmentWork, int], None]
     ) -> None:
-        """Prepares the feeding.
+        """Initializes the dispatcher.
 
         Args:
-          state: What the parts of the batch path share.
-          on_chunk: Told of each chunk whose results are complete.
+          state: Shared batch state of this instance.
+          on_chunk: Called with each segment and chunk whose results are complete.
         """
         self.state = state
         self._on_chunk = on_chunk
@@ -76,19 +80,19 @@
         self._nursery: trio.Nursery | None = None
 
     async def run(self) -> None:
-        """Feeds until cancelled."""
+        """Dispatches items until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             nursery.start_soon(self._schedule_forever)
 
     def online_changed(self, upstream: UpstreamId) -> None:
-        """Lets go of a runner at once if online requests have come to it."""
+        """Preempts items over the limit after a change of an upstream's online load."""
         dispatch = self._upstreams.get(upstream)
         if dispatch is not None:
             self._preempt_excess(dispatch, trio.current_time())
 
     def limits(self) -> dict[UpstreamId, tuple[int, int]]:
-        """Returns items running and the limit, for each runner fed."""
+        """Returns the number of running items and their limit, by upstream."""
         now = trio.current_time()
         return {
             upstream: (len(dispatch.running), self._limit(dispatch, now))
@@ -96,17 +100,17 @@
         }
 
     def upstream_count(self) -> int:
-        """Returns how many runners are fed from here."""
+        """Returns the number of upstreams that this instance dispatches to."""
         return sum(not dispatch.retired for dispatch in self._upstreams.values())
 
     def running_segments(self) -> set[SegmentWork]:
-        """Returns the segments of which any item runs."""
+        """Returns the segments with running items."""
         return {
             r.segment for dispatch in self._upstreams.values() for r in dispatch.running
         }
 
     def stop(self, segment: SegmentWork | None = None) -> None:
-        """Cancels the items of a segment; of all, if none is named."""
+        """Cancels the running items of a segment, or of all segments if None."""
         for dispatch in self._upstreams.values():
             for running in dispatch.running:
                 if segment is None or running.segment is segment:
@@ -116,7 +120,7 @@
         while True:
             self.state.wake = trio.Event()
             self._schedule(trio.current_time())
-            active = self.state.held or any(f.running for f in self._upstreams.values())
+            active = self.state.held or any(d.running for d in self._upstreams.values())
             with trio.move_on_after(
                 _SCHEDULE_INTERVAL_S if active else _IDLE_SCHEDULE_INTERVAL_S
             ):
@@ -154,7 +158,7 @@
                 self._upstreams[upstream] = _UpstreamDispatch(record, policy)
 
     def services(self) -> set[str]:
-        """Returns the services whose runners this instance feeds."""
+        """Returns the services whose upstreams this instance dispatches to."""
         return {
             dispatch.record.node.service
             for dispatch in self._upstreams.values()
@@ -170,7 +174,7 @@
         return dispatch.policy.limit(view, now)
 
     def _preempt_excess(self, dispatch: _UpstreamDispatch, now: float) -> None:
-        """Cancels the items that exceed the limit, the latest begun first."""
+        """Cancels items over the limit, the latest started first."""
         excess = len(dispatch.running) - self._limit(dispatch, now)
         for running in reversed(dispatch.running):
             if excess <= 0:
@@ -213,8 +217,8 @@
             ):
                 result = await self._execute(dispatch, work, segment, deployment)
             if limit.cancelled_caught and not running.preempted:
-                why = f"no answer within {self.state.settings.item_timeout_s} s"
-                self._handle_lost_attempt(dispatch, work, ("timeout", why))
+                message = f"no answer within {self.state.settings.item_timeout_s} s"
+                self._handle_lost_attempt(dispatch, work, ("timeout", message))
         finally:
             dispatch.running.remove(running)
             dispatch.record.batch -= 1
@@ -229,7 +233,7 @@
     def _handle_lost_attempt(
         self, dispatch: _UpstreamDispatch, work: ItemWork, error: tuple[str, str]
     ) -> None:
-        """Notes an attempt without an answer, and lets the upstream rest."""
+        """Records an attempt without a response, and delays the next one."""
         now = trio.current_time()
         work.record_lost_attempt(dispatch.record.breaker, error)
         dispatch.record.breaker.failed(now)
@@ -242,7 +246,7 @@
         segment: SegmentWork,
         deployment: Deployment,
     ) -> ItemResult | None:
-        """Runs an item; None means that it must run again."""
+        """Runs one attempt of an item; returns None if the item must run again."""
         job = segment.held.job
         tokens = work.item.max_tokens or job.max_tokens or deployment.default_max_tokens
         if len(work.generated) >= tokens:
@@ -258,8 +262,8 @@
         attempt = Attempt()
         client = self.state.fleet.batch_client(dispatch.record.upstream)
         try:
-            answer = client.generate(request, attempt)
-            async with contextlib.aclosing(answer) as parts:
+            stream = client.generate(request, attempt)
+            async with contextlib.aclosing(stream) as parts:
                 async for texts in parts:
                     work.generated += texts
         except UpstreamFailedError as error:
--- a/src/coppercleat/batch/_finisher.py
+++ b/src/coppercleat/batch/_finisher.py
@@ -1,4 +1,4 @@
-"""Ends jobs, and collects what ended jobs have left."""
+"""Completes and cancels jobs, and deletes their orphaned result objects."""
 
 from __future__ import annotations
 
@@ -21,11 +21,10 @@
 )
 
 _MAX_TRANSACTION_ATTEMPTS = 4
-"""Transactions whose answers may be lost before a caller is told so."""
 
 
 class JobFinisher:
-    """Ends each job once, as completed or as cancelled."""
+    """Moves jobs to their final state, completed or cancelled."""
 
     def __init__(
         self,
@@ -34,19 +33,19 @@
         *,
         clock: Callable[[], float],
     ) -> None:
-        """Prepares the endings.
+        """Initializes the finisher.
 
         Args:
-          platform: Where rows and objects are.
+          platform: Storage of rows and objects.
           reader: Reads jobs.
-          clock: Gives Unix time in seconds.
+          clock: Returns Unix time in seconds.
         """
         self.platform = platform
         self._reader = reader
         self._clock = clock
 
     async def complete_if_done(self, job: JobId) -> bool:
-        """Ends a job whose segments are all done; returns whether it is ended."""
+        """Completes a job whose segments are all done; returns whether it has ended."""
         row, version = await self._reader.get(job)
         if row.state is not JobState.OPEN:
             return True
@@ -58,11 +57,11 @@
         return await self._end(row, version, JobState.COMPLETED) is not None
 
     async def cancel(self, job: JobId) -> JobRow:
-        """Cancels a job; once this returns, no result appears any more.
+        """Cancels a job; after this returns, no further result is committed.
 
         Raises:
           JobEndedError: The job has completed.
-          AnswerLostError: The platform never said; cancel again.
+          AnswerLostError: The outcome is unknown; cancel again.
         """
         for _ in range(_MAX_TRANSACTION_ATTEMPTS):
             row, version = await self._reader.get(job)
@@ -76,7 +75,7 @@
         raise AnswerLostError("The platform did not say whether the job was cancelled")
 
     async def _end(self, row: JobRow, version: int, state: JobState) -> JobRow | None:
-        """Ends a job; None if another change came first or no answer came."""
+        """Ends a job; None after a concurrent change or a lost response."""
         ended = msgspec.structs.replace(row, state=state, finished_at=self._clock())
         key = job_key(row.job)
         try:
@@ -92,10 +91,9 @@
         return None if isinstance(result, TransactionRefused) else ended
 
     async def collect(self, job: JobRow) -> int:
-        """Removes result objects that no row points at; returns how many.
+        """Deletes unreferenced result objects of an ended job; returns how many.
 
-        Only for ended jobs: while one is open, an object may be about to be
-        pointed at.
+        In an open job, a commit stores the object before the row refers to it.
         """
         pointed = {
             name
--- a/src/coppercleat/batch/_forecast.py
+++ b/src/coppercleat/batch/_forecast.py
@@ -1,4 +1,4 @@
-"""Forecasts when a job ends, and says early that it will be late."""
+"""Forecasts when a job ends and whether it will be late."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 
 class Forecast(msgspec.Struct, frozen=True, kw_only=True):
-    """When a job will end; Unix seconds, 0 while nothing is known."""
+    """When a job will end, in Unix seconds; 0 if unknown."""
 
     ends_at: float
     late: bool
 
 
 def forecast(job: JobRow, progress: Progress, *, now: float) -> Forecast:
-    """Forecasts from the mean rate since the job was accepted.
+    """Extrapolates the mean completion rate since the job was accepted.
 
-    While nothing has completed, the forecast supposes that all items claimed
-    so far complete at this moment, which is the best that can still happen.
+    Before the first completed item, the forecast counts all claimed items as
+    completed, which is the best case.
 
     Args:
       job: The job.
-      progress: How far it has come.
+      progress: The job's progress.
       now: Unix time in seconds.
     """
     if job.state is not JobState.OPEN:
--- a/src/coppercleat/batch/_items.py
+++ b/src/coppercleat/batch/_items.py
@@ -1,4 +1,4 @@
-"""Items as they are submitted, and their results."""
+"""Items of a job's input, their results, and the decoder of input lines."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
     """One line of a job's input.
 
     Attributes:
-      prompt: What to ask.
-      id: The submitter's own id, given back with the result.
-      max_tokens: 0 takes the job's.
+      prompt: Prompt of the inference request.
+      id: Identifier chosen by the client, returned with the result.
+      max_tokens: Token limit, 0 for the job's.
     """
 
     prompt: Annotated[str, Meta(min_length=1, max_length=500_000)]
@@ -28,10 +28,16 @@
 
 
 class ItemResult(msgspec.Struct, kw_only=True):
-    """An item's one result: an answer, or a readable failure.
+    """Result of an item: generated text, or an error.
 
     Attributes:
-      attempts: Executions that were started for it, as far as is known.
+      index: Index of the item in the job.
+      id: The client's identifier of the item.
+      ok: Whether the item succeeded.
+      text: Generated text.
+      error_kind: Kind of the last error, if the item failed.
+      error_message: Message of the last error, if the item failed.
+      attempts: Known number of attempts.
     """
 
     index: int
@@ -47,11 +53,11 @@
 
 
 class ItemLineDecoder:
-    """Decodes JSON Lines that arrive in any division.
+    """Incremental decoder of JSON Lines.
 
     Attributes:
-      lines: Lines seen so far, blank ones included.
-      problems: What is wrong, with line numbers; the first few only.
+      lines: Number of lines decoded, including blank ones.
+      problems: The first few errors, with line numbers.
     """
 
     def __init__(self) -> None:
@@ -60,7 +66,11 @@
         self._partial_line = b""
 
     def feed(self, data: bytes) -> list[Item]:
-        """Takes bytes and returns the items of the lines they complete."""
+        """Returns the items of the lines completed by the data.
+
+        Raises:
+          InvalidRequestError: A line is too long.
+        """
         parts = (self._partial_line + data).split(b"\n")
         self._partial_line = parts.pop()
         if len(self._partial_line) > _MAX_LINE_BYTES:
@@ -72,16 +82,16 @@
         """Returns the last line's item, if the input ended without a newline.
 
         Raises:
-          InvalidRequestError: Some lines were wrong; nothing may be accepted.
+          InvalidRequestError: Some lines are invalid.
         """
-        rest, self._partial_line = self._partial_line, b""
-        items = self._decode([rest]) if rest else []
+        line, self._partial_line = self._partial_line, b""
+        items = self._decode([line]) if line else []
         if self.problems:
             raise self.error()
         return items
 
     def error(self) -> InvalidRequestError:
-        """Returns the refusal that names the lines."""
+        """Returns the error that lists the invalid lines."""
         return InvalidRequestError(
             "The input has wrong lines: " + "; ".join(self.problems),
             remedy="Correct these lines and submit the whole job again.",
--- a/src/coppercleat/batch/_jobs.py
+++ b/src/coppercleat/batch/_jobs.py
@@ -1,7 +1,6 @@
-"""States of a job, and how its items are divided.
+"""States of a job, and its division into segments and chunks.
 
-A job is divided into segments and a segment into chunks. An instance claims a
-segment, runs its items, and commits it chunk by chunk.
+A segment is the unit of claiming, a chunk the unit of committing results.
 """
 
 from __future__ import annotations
@@ -11,12 +10,12 @@
 
 import msgspec
 
-_SEGMENTS_PER_RUNNER = 4
+_SEGMENTS_PER_UPSTREAM = 4
 _MIN_SEGMENT_ITEMS = 64
 
 
 class JobState(enum.Enum):
-    """Where a job stands; only an open one can change."""
+    """State of a job; only an open job changes state."""
 
     OPEN = "open"
     COMPLETED = "completed"
@@ -31,17 +30,17 @@
 
 
 def can_transition(state: JobState, target: JobState) -> bool:
-    """Returns whether the state table has the transition."""
+    """Returns whether a job may move from ``state`` to ``target``."""
     return target in JOB_TRANSITIONS[state]
 
 
 class Division(msgspec.Struct, frozen=True, kw_only=True):
-    """How many items, and how many of them go together.
+    """Sizes of a job's segments and chunks.
 
     Attributes:
-      items: Items of the job.
-      segment_items: Items of each segment but the last.
-      chunk_items: Items of each chunk but a segment's last.
+      items: Number of items of the job.
+      segment_items: Number of items in every segment but the last.
+      chunk_items: Number of items in every chunk but the last of a segment.
     """
 
     items: int
@@ -72,15 +71,15 @@
 def divide(
     items: int, *, upstream_count: int, chunk_items: int, segment_chunks: int
 ) -> Division:
-    """Divides a job so that all runners get work and few writes are needed.
+    """Divides a job so that every upstream gets work and commits are few.
 
     Args:
-      items: Items of the job, at least one.
-      upstream_count: Upstreams that can run them.
-      chunk_items: Items in a chunk at most.
-      segment_chunks: Chunks in a segment at most.
+      items: Number of items of the job, at least one.
+      upstream_count: Number of upstreams that can run the items.
+      chunk_items: Maximum number of items in a chunk.
+      segment_chunks: Maximum number of chunks in a segment.
     """
-    fair = math.ceil(items / (_SEGMENTS_PER_RUNNER * max(1, upstream_count)))
+    fair = math.ceil(items / (_SEGMENTS_PER_UPSTREAM * max(1, upstream_count)))
     segment_items = min(
         max(fair, _MIN_SEGMENT_ITEMS), chunk_items * segment_chunks, items
     )
--- a/src/coppercleat/batch/_lateness_monitor.py
+++ b/src/coppercleat/batch/_lateness_monitor.py
@@ -1,4 +1,4 @@
-"""Watches over due times, and says early which jobs will be late."""
+"""Logs and counts the jobs that are forecast to miss their due time."""
 
 from __future__ import annotations
 
@@ -18,43 +18,43 @@
 
 
 class LatenessMonitor:
-    """The late jobs among those that this instance is the steward of."""
+    """Forecasts the lateness of the jobs assigned to this instance."""
 
     def __init__(self, state: BatchState) -> None:
         self.state = state
         self._late: set[JobId] = set()
-        self._watched: list[OpenJob] = []
+        self._monitored: list[OpenJob] = []
 
-    def watch(self, jobs: Sequence[OpenJob]) -> None:
-        """Takes all open jobs; keeps those that fall to this instance."""
-        watched = [
+    def select_jobs(self, jobs: Sequence[OpenJob]) -> None:
+        """Selects the jobs to monitor from all open jobs."""
+        monitored = [
             j
             for j in jobs
             if j.row.due_at and self.state.fleet.monitors_due_time(j.row.job)
         ]
-        self._late &= {job.row.job for job in watched}
-        self._watched = watched
+        self._late &= {job.row.job for job in monitored}
+        self._monitored = monitored
 
     async def run(self) -> None:
-        """Forecasts the jobs last watched, again and again."""
+        """Forecasts the monitored jobs at each poll interval, until cancelled."""
         while True:
             await trio.sleep(self.state.settings.poll_s)
             with contextlib.suppress(PlatformUnavailableError):
-                await self._forecast(self._watched)
+                await self._forecast(self._monitored)
 
     async def _forecast(self, jobs: Sequence[OpenJob]) -> None:
         for job in jobs:
             progress = await self.state.store.reader.progress(job.row)
-            seen = forecast(job.row, progress, now=self.state.clock())
-            if seen.late and job.row.job not in self._late:
+            expected = forecast(job.row, progress, now=self.state.clock())
+            if expected.late and job.row.job not in self._late:
                 self._late.add(job.row.job)
                 _log.warning(
                     "Job will be late.",
                     job=job.row.job,
                     tenant=job.row.tenant,
                     due_at=job.row.due_at,
-                    ends_at=seen.ends_at,
+                    ends_at=expected.ends_at,
                 )
-            elif not seen.late:
+            elif not expected.late:
                 self._late.discard(job.row.job)
         self.state.metrics.late_jobs.set({}, len(self._late))
--- a/src/coppercleat/batch/_ports.py
+++ b/src/coppercleat/batch/_ports.py
@@ -1,4 +1,4 @@
-"""What the batch path needs from the rest of the instance."""
+"""Interfaces that batch processing needs from the rest of the instance."""
 
 from __future__ import annotations
 
@@ -12,40 +12,45 @@
 
 
 class Fleet(Protocol):
-    """What the runner needs to know of upstreams and other instances."""
+    """Upstreams and other instances of the fleet."""
 
     def dispatched_upstreams(self) -> list[UpstreamRecord]:
-        """Returns the upstreams that this instance feeds, those leaving not."""
+        """Returns the upstreams to dispatch to, without those draining or ejected."""
         ...
 
     def online_total(self, upstream: UpstreamId) -> int:
-        """Returns online requests in flight there, of all instances."""
+        """Returns the online requests in flight on an upstream, of all instances."""
         ...
 
     def batch_client(self, upstream: UpstreamId) -> UpstreamClient:
-        """Returns the client for batch items."""
+        """Returns the upstream's client for batch items."""
         ...
 
     def holder_state(self, holder: InstanceId, incarnation: int) -> HolderState:
-        """Returns what is known of a segment's holder."""
+        """Returns the known state of a segment's holder.
+
+        Args:
+          holder: The instance.
+          incarnation: Incarnation that claimed the segment.
+        """
         ...
 
     def live(self) -> int:
-        """Returns how many instances are thought alive."""
+        """Returns the number of instances considered alive."""
         ...
 
     def monitors_due_time(self, job: JobId) -> bool:
-        """Returns whether this instance watches over a job's due time."""
+        """Returns whether this instance monitors the job's due time."""
         ...
 
 
 @attrs.define(frozen=True)
 class HolderState:
-    """What is known of a holder.
+    """State of a segment's holder.
 
     Attributes:
-      alive: Whether peers hear it.
-      restarted: Whether a later start of the same instance is known.
+      alive: Whether its heartbeats are received.
+      restarted: Whether a later incarnation of the instance is known.
     """
 
     alive: bool
--- a/src/coppercleat/batch/_reading.py
+++ b/src/coppercleat/batch/_reading.py
@@ -1,4 +1,4 @@
-"""Reads jobs, their segments and their results from the platform."""
+"""Reads jobs, their segments and their results from platform storage."""
 
 from __future__ import annotations
 
@@ -19,15 +19,17 @@
 from coppercleat.storage import Platform, decode_row
 
 _PAGE_ROWS = 1000
-"""Rows that one call reads."""
 
 
 class Progress(msgspec.Struct, frozen=True, kw_only=True):
-    """How far a job has come.
+    """Progress of a job.
 
     Attributes:
-      items_completed: Items whose results are readable.
-      items_claimed: Items of all segments claimed, those completed included.
+      items_completed: Number of items with committed results.
+      items_claimed: Number of items in all segments ever claimed.
+      segments_done: Number of segments with all chunks committed.
+      unclaimed: Indices of segments never claimed.
+      held: Rows of claimed segments that are not done, by index.
     """
 
     items_completed: int
@@ -38,16 +40,16 @@
 
 
 class JobReader:
-    """Reads jobs; changes nothing."""
+    """Read-only access to jobs."""
 
     def __init__(self, platform: Platform) -> None:
         self.platform = platform
 
     async def get(self, job: JobId) -> tuple[JobRow, int]:
-        """Returns a job's row and its version.
+        """Returns a job's row and its storage version.
 
         Raises:
-          NotFoundError: There is no such job.
+          NotFoundError: The job does not exist.
         """
         key = job_key(job)
         row = (await self.platform.read([key])).get(key)
@@ -56,7 +58,7 @@
         return decode_row(row, JobRow), row.version
 
     async def list_open(self, *, limit: int = _PAGE_ROWS) -> list[tuple[JobRow, int]]:
-        """Returns open jobs with the versions of their rows."""
+        """Returns the rows of open jobs and their storage versions."""
         found = await self.platform.scan(OPEN_PREFIX, limit=limit)
         keys = [job_key(JobId(key.removeprefix(OPEN_PREFIX))) for key, _ in found]
         if not keys:
@@ -68,7 +70,7 @@
     async def list_page(
         self, *, after: str = "", limit: int = 100
     ) -> tuple[list[JobRow], str]:
-        """Returns a page of all jobs, and the token of the next."""
+        """Returns a page of all jobs, and the token of the next page or ``""``."""
         prefix = "job/"
         found = await self.platform.scan(
             prefix, after=prefix + after if after else "", limit=limit
@@ -78,7 +80,7 @@
         return jobs, found[-1][0].removeprefix(prefix) if more else ""
 
     async def segments(self, job: JobRow) -> dict[int, tuple[SegmentRow, int]]:
-        """Returns the rows and versions of all segments ever claimed."""
+        """Returns the rows and storage versions of all segments ever claimed."""
         prefix = segment_prefix(job.job)
         rows: dict[int, tuple[SegmentRow, int]] = {}
         after = ""
@@ -92,7 +94,7 @@
             after = found[-1][0]
 
     async def progress(self, job: JobRow) -> Progress:
-        """Returns how far a job has come."""
+        """Returns the progress of a job."""
         rows = await self.segments(job)
         division = job.division
         completed = sum(
@@ -112,7 +114,11 @@
     async def read_results(
         self, job: JobRow, segment: int, chunk: int
     ) -> list[ItemResult] | None:
-        """Returns a chunk's results in item order, or None while not done."""
+        """Returns a chunk's results in item order, or None until it is committed.
+
+        Raises:
+          NotFoundError: The result object was deleted.
+        """
         key = segment_key(job.job, segment)
         row = (await self.platform.read([key])).get(key)
         if row is None:
--- a/src/coppercleat/batch/_rows.py
+++ b/src/coppercleat/batch/_rows.py
@@ -1,12 +1,12 @@
-"""Rows and objects that a job consists of, and their keys.
-
-* ``job/JOB``: what was asked, and how it ended. Written at acceptance and at
-  the end only.
-* ``open/JOB``: exists while the job is open, so that open jobs can be listed.
-* ``jobkey/TENANT/KEY``: which job a submitter's key means.
-* ``segment/JOB/N``: who runs a segment, and a pointer for each chunk done.
-* ``challenge/INSTANCE``: asks a silent holder for a sign of life.
-* objects ``input/JOB/N`` and ``result/JOB/SEGMENT/CHUNK-TOKEN``.
+"""Rows and objects of a job in platform storage, and their keys.
+
+* ``job/JOB``: specification and state; written at acceptance and at the end only.
+* ``open/JOB``: index of open jobs.
+* ``jobkey/TENANT/KEY``: job of a client account's idempotency key.
+* ``segment/JOB/N``: holder of a segment, and the result object of each chunk.
+* ``challenge/INSTANCE``: pending liveness challenge to an instance.
+* ``input/JOB/N``: object with a part of the input.
+* ``result/JOB/SEGMENT/CHUNK-TOKEN``: object with the results of a chunk.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 OPEN_PREFIX = "open/"
 ITEMS_PER_INPUT_OBJECT = 4096
 NO_HOLDER = InstanceId("")
-"""The holder of a segment that was given up."""
+"""Holder of a released segment."""
 
 
 class JobRow(msgspec.Struct, frozen=True, kw_only=True):
-    """A job as the table keeps it; times are Unix seconds."""
+    """Stored row of a job; times are Unix seconds, 0 for none."""
 
     job: JobId
     tenant: TenantId
@@ -39,19 +39,19 @@
 
 
 class IdempotencyKeyRow(msgspec.Struct, frozen=True):
-    """Which job a submitter's key means."""
+    """Stored row of an idempotency key: its job and the hash of the job's content."""
 
     job: JobId
     content_hash: str
 
 
 class SegmentRow(msgspec.Struct, frozen=True, kw_only=True):
-    """Who runs a segment, and what is done.
+    """Stored row of a claimed segment.
 
     Attributes:
-      holder: The instance that claimed it last.
-      incarnation: Which start of that instance.
-      results: Object name of each chunk's results; empty while not done.
+      holder: The instance that claimed the segment last.
+      incarnation: Incarnation of that instance.
+      results: Name of each chunk's result object; empty until committed.
     """
 
     holder: InstanceId
@@ -60,56 +60,56 @@
 
     @property
     def done(self) -> bool:
-        """Whether all chunks are committed."""
+        """Returns whether all chunks are committed."""
         return all(self.results)
 
 
 class ChallengeRow(msgspec.Struct, frozen=True):
-    """Who asks for a sign of life."""
+    """Stored row of a pending liveness challenge."""
 
     challenger: InstanceId
 
 
 def job_key(job: JobId) -> str:
-    """Key of the job's own row."""
+    """Returns the key of a job's row."""
     return f"job/{job}"
 
 
 def open_key(job: JobId) -> str:
-    """Key of the row that lists the job as open."""
+    """Returns the key of a job's entry in the index of open jobs."""
     return OPEN_PREFIX + job
 
 
 def idempotency_row_key(tenant: TenantId, key: str) -> str:
-    """Key of the row that finds a job by its submitter's key."""
+    """Returns the key of an idempotency key's row."""
     return f"jobkey/{tenant}/{key}"
 
 
 def segment_prefix(job: JobId) -> str:
-    """Prefix of the keys of all segment rows."""
+    """Returns the key prefix of a job's segment rows."""
     return f"segment/{job}/"
 
 
 def segment_key(job: JobId, segment: int) -> str:
-    """Key of a segment's row."""
+    """Returns the key of a segment's row."""
     return f"{segment_prefix(job)}{segment:06d}"
 
 
 def challenge_key(instance: InstanceId) -> str:
-    """Key of the row that asks an instance for a sign of life."""
+    """Returns the key of an instance's challenge row."""
     return f"challenge/{instance}"
 
 
 def input_object_name(job: JobId, part: int) -> str:
-    """Name of the object with a part of the input."""
+    """Returns the name of an input object."""
     return f"input/{job}/{part:06d}"
 
 
 def result_prefix(job: JobId) -> str:
-    """Prefix of the names of all result objects."""
+    """Returns the name prefix of a job's result objects."""
     return f"result/{job}/"
 
 
 def result_object_name(job: JobId, segment: int, chunk: int, token: str) -> str:
-    """Name of a result object, unique to the attempt at the chunk."""
+    """Returns the name of a result object, unique to one commit by its token."""
     return f"{result_prefix(job)}{segment:06d}/{chunk:03d}-{token}"
--- a/src/coppercleat/batch/_runner.py
+++ b/src/coppercleat/batch/_runner.py
@@ -1,4 +1,4 @@
-"""Puts the parts of the batch path together and runs them."""
+"""Composes and runs the components of batch processing."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 class BatchRunner:
-    """Runs this instance's part of all open jobs.
+    """Processes segments of open jobs on this instance.
 
     Attributes:
-      state: What the parts share.
+      state: State shared by the components.
     """
 
     def __init__(self, state: BatchState) -> None:
@@ -38,34 +38,38 @@
         self._claimer = SegmentClaimer(
             state,
             self._dispatcher,
-            lose=self._committer.lose,
-            on_jobs=self._lateness_monitor.watch,
+            stop_work=self._committer.stop_work,
+            on_jobs=self._lateness_monitor.select_jobs,
         )
         self._nursery: trio.Nursery | None = None
 
     async def run(self) -> None:
-        """Works until cancelled."""
+        """Processes jobs until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             nursery.start_soon(self._dispatcher.run)
             nursery.start_soon(self._claimer.run)
             nursery.start_soon(self._lateness_monitor.run)
-            nursery.start_soon(self._watch_forever)
+            nursery.start_soon(self._check_held_forever)
 
     def online_changed(self, upstream: UpstreamId) -> None:
-        """Lets go of a runner at once if online requests have come to it."""
+        """Preempts items over the limit after a change of an upstream's online load."""
         self._dispatcher.online_changed(upstream)
 
     def poll_now(self) -> None:
-        """Looks for work and for cancelled jobs now rather than at the next poll."""
+        """Polls for open jobs without waiting for the interval to pass."""
         self.state.poll_requested.set()
 
     def batch_limits(self) -> dict[UpstreamId, tuple[int, int]]:
-        """Returns items running and the limit, for each runner fed."""
+        """Returns the number of running items and their limit, by upstream."""
         return self._dispatcher.limits()
 
     async def drain(self, *, deadline: float) -> None:
-        """Finishes begun chunks by a deadline, then gives all segments up."""
+        """Finishes started chunks, then releases all segments.
+
+        Args:
+          deadline: When to stop waiting for chunks, on trio's clock.
+        """
         self.state.draining = True
         for segment in self.state.held:
             segment.draining = True
@@ -90,7 +94,7 @@
         self.state.uncommitted_chunks += 1
         self._nursery.start_soon(self._committer.commit, segment, chunk)
 
-    async def _watch_forever(self) -> None:
+    async def _check_held_forever(self) -> None:
         while True:
             await trio.sleep(
                 self.state.watch_interval_s() * self.state.rng.uniform(0.75, 1.0)
@@ -98,20 +102,20 @@
             if not self.state.held:
                 continue
             with contextlib.suppress(PlatformUnavailableError, AnswerLostError):
-                await self._watch()
+                await self._check_held()
 
-    async def _watch(self) -> None:
-        """Notices challenges, take-overs and ended jobs, in one read."""
+    async def _check_held(self) -> None:
+        """Responds to a challenge, and stops work on segments no longer held."""
         by_held = {id(work.held): work for work in self.state.held}
         version, lost = await self.state.store.segments.check_held(
             self.state.instance, [work.held for work in self.state.held]
         )
         if version:
-            await self.state.store.segments.answer_challenge(
+            await self.state.store.segments.respond_to_challenge(
                 self.state.instance, version
             )
-            _log.info("Challenge answered.")
+            _log.info("Responded to a liveness challenge.")
         for held in lost:
             work = by_held[id(held)]
             if not work.lost and work in self.state.held:
-                self._committer.lose(work, "taken over, or the job has ended")
+                self._committer.stop_work(work, "taken over, or the job has ended")
--- a/src/coppercleat/batch/_segment_work.py
+++ b/src/coppercleat/batch/_segment_work.py
@@ -1,4 +1,4 @@
-"""The items of one held segment: which wait, run and are done."""
+"""Queued, running and completed items of one held segment."""
 
 from __future__ import annotations
 
@@ -17,7 +17,12 @@
 
 @attrs.define
 class _LostAttempt:
-    """An attempt that was lost on an upstream, which may be to blame itself."""
+    """An attempt without a response.
+
+    Attributes:
+      breaker: Circuit breaker of the upstream.
+      successes: Count of the upstream's successes at the time of the loss.
+    """
 
     breaker: CircuitBreaker
     successes: int
@@ -25,16 +30,17 @@
 
 @attrs.define(kw_only=True, eq=False)
 class ItemWork:
-    """One item on its way to its result.
+    """Progress and failures of one item.
 
-    A lost attempt is laid to the item only once the upstream has answered
-    something else since: an upstream that answers nothing is itself at fault.
+    A lost attempt is attributed to the item only once the upstream has completed
+    another request since; otherwise the upstream may be at fault.
 
     Attributes:
-      index: Its place in the job.
-      generated: Texts that cancelled runs have made, so that none is lost.
-      attempts: Executions started.
-      refusals: Attempts that the upstream answered with an error.
+      index: Index of the item in the job.
+      generated: Text generated so far, with which the next attempt resumes.
+      attempts: Number of attempts started.
+      refusals: Number of attempts to which the upstream responded with an error.
+      lost_attempts: Attempts without a response.
       last_error: Kind and message of the last failed attempt.
     """
 
@@ -49,20 +55,20 @@
     def record_lost_attempt(
         self, breaker: CircuitBreaker, error: tuple[str, str]
     ) -> None:
-        """Notes an attempt that ended without an answer."""
+        """Records an attempt without a response."""
         self.lost_attempts.append(_LostAttempt(breaker, breaker.successes))
         self.last_error = error
 
     def record_refusal(self, error: tuple[str, str]) -> None:
-        """Notes an attempt that the upstream answered with an error."""
+        """Records an attempt to which the upstream responded with an error."""
         self.refusals += 1
         self.last_error = error
 
     def has_failed(self, max_attempts: int) -> bool:
-        """Whether the item has failed for good.
+        """Returns whether the item is not attempted again.
 
         Args:
-          max_attempts: Failures that may be laid to the item.
+          max_attempts: Number of failures of the item itself at which it fails.
         """
         attributed = sum(s.breaker.successes > s.successes for s in self.lost_attempts)
         lost = len(self.lost_attempts)
@@ -73,14 +79,14 @@
 
 
 class SegmentWork:
-    """Hands out a segment's items and gathers the results chunk by chunk.
+    """Queues a segment's items and collects their results by chunk.
 
     Attributes:
-      held: The claim.
-      lost: Whether the claim is gone; nothing may be committed.
-      draining: Whether only chunks already begun are handed out.
-      commit_lock: Held while a chunk is committed, for each commit changes
-        the row that the next one checks.
+      held: The claimed segment.
+      lost: Whether the segment is no longer held; nothing may be committed.
+      draining: Whether only items of started chunks are dispatched.
+      commit_lock: Serializes commits, since each changes the row version that the
+        next one checks.
     """
 
     def __init__(self, held: HeldSegment, items: Sequence[Item]) -> None:
@@ -106,7 +112,7 @@
 
     @property
     def waiting(self) -> int:
-        """Items not running and without a result."""
+        """Number of queued items."""
         return len(self._queue)
 
     @property
@@ -115,7 +121,7 @@
         return self._uncommitted == 0
 
     def next_item(self) -> ItemWork | None:
-        """Returns the next item to run, or None."""
+        """Dequeues the next item to run; None if there is none."""
         if self.lost or not self._queue:
             return None
         chunk = self.chunk_of(self._queue[0])
@@ -125,17 +131,14 @@
         return self._queue.popleft()
 
     def requeue(self, work: ItemWork) -> None:
-        """Returns an item that was taken and has no result.
-
-        It goes first, unless it failed: then it holds up none of the others.
-        """
+        """Queues an item again: last if any of its attempts failed, else first."""
         if work.refusals or work.lost_attempts:
             self._queue.append(work)
         else:
             self._queue.appendleft(work)
 
     def record_result(self, work: ItemWork, result: ItemResult) -> int | None:
-        """Records a result; returns the chunk if that completes it."""
+        """Stores a result; returns the chunk if this completes it."""
         chunk = self.chunk_of(work)
         results = self._results[chunk]
         results[work.index] = result
@@ -153,6 +156,6 @@
         return [found[index] for index in sorted(found)]
 
     def remove_committed(self, chunk: int) -> None:
-        """Forgets a chunk's results, which are now readable."""
+        """Discards the results of a committed chunk."""
         del self._results[chunk]
         self._uncommitted -= 1
--- a/src/coppercleat/batch/_segments.py
+++ b/src/coppercleat/batch/_segments.py
@@ -1,9 +1,8 @@
 """Claims segments and commits their chunks.
 
-Safety rests on one rule: whoever claims a segment writes its row, and a commit
-succeeds only if neither that row nor the job's has changed since. A holder
-that was paused, cut off or replaced can therefore commit nothing, whatever it
-believes.
+A claim writes the segment's row, and a commit requires that neither that row nor
+the job's has changed since (optimistic concurrency control). An instance that was
+paused, partitioned or replaced therefore cannot commit after a takeover.
 """
 
 from __future__ import annotations
@@ -45,7 +44,6 @@
 )
 
 _MAX_TRANSACTION_ATTEMPTS = 4
-"""Transactions whose answers may be lost before a commit is given back."""
 
 _log = part_logger("batch")
 
@@ -55,9 +53,11 @@
     """A segment that this instance has claimed.
 
     Attributes:
+      job: The job's row as read before the claim.
+      job_version: Storage version of the job's row; a commit requires it unchanged.
+      segment: Index of the segment in the job.
       row: The segment's row as last written.
-      version: Its version; a commit requires it unchanged.
-      job_version: The version of the job's row, likewise.
+      version: Storage version of ``row``; a commit requires it unchanged.
     """
 
     job: JobRow
@@ -68,7 +68,7 @@
 
 
 class ClaimRefusal(enum.Enum):
-    """Sentinels: why a segment was not claimed."""
+    """Why a segment was not claimed."""
 
     TAKEN = "another instance claimed it first"
     DONE = "all its chunks are done"
@@ -76,7 +76,7 @@
 
 
 class CommitOutcome(enum.Enum):
-    """How the commit of a chunk ended."""
+    """Outcome of committing a chunk."""
 
     DONE = "the chunk's results are readable"
     TAKEN_OVER = "another instance holds the segment"
@@ -84,14 +84,14 @@
 
 
 class SegmentStore:
-    """Claims, commits and gives up segments."""
+    """Claims, commits and releases segments."""
 
     def __init__(self, platform: Platform, *, rng: random.Random) -> None:
-        """Prepares the store.
+        """Initializes the store.
 
         Args:
-          platform: Where rows and objects are.
-          rng: Source of names of result objects.
+          platform: Storage of rows and objects.
+          rng: Source of the random tokens in names of result objects.
         """
         self.platform = platform
         self._rng = rng
@@ -107,16 +107,20 @@
         known: tuple[SegmentRow, int] | None,
         challenge: Check | None = None,
     ) -> HeldSegment | ClaimRefusal:
-        """Claims a segment, or takes it over from another holder.
+        """Claims a free segment, or takes it over from another holder.
 
         Args:
           job: The job.
-          job_version: Version of the job's row.
-          segment: Which segment.
-          instance: Who claims.
-          incarnation: Which start of that instance.
-          known: The segment's row and version as read; None for none.
-          challenge: A further condition: the holder did not answer.
+          job_version: Storage version of the job's row.
+          segment: Index of the segment.
+          instance: The claiming instance.
+          incarnation: Incarnation of that instance.
+          known: The segment's row and version as read; None if it has no row.
+          challenge: Further condition of the claim: the previous holder's
+            challenge row is unchanged.
+
+        Returns:
+          The claimed segment, or why it was not claimed.
         """
         if job.state is not JobState.OPEN:
             return ClaimRefusal.JOB_ENDED
@@ -157,7 +161,7 @@
         row: SegmentRow,
         known: tuple[SegmentRow, int] | None,
     ) -> HeldSegment | ClaimRefusal:
-        """Reads a claim back whose answer was lost."""
+        """Reads the row back to learn whether a claim without a response succeeded."""
         key = segment_key(job.job, segment)
         found = (await self.platform.read([key])).get(key)
         if found is None or decode_row(found, SegmentRow) != row:
@@ -173,7 +177,11 @@
         )
 
     async def read_items(self, held: HeldSegment) -> list[Item]:
-        """Returns the items of a held segment, in order."""
+        """Returns the items of a held segment, in order.
+
+        Raises:
+          NotFoundError: An input object does not exist.
+        """
         indices = held.job.division.segment_range(held.segment)
         first = indices.start // ITEMS_PER_INPUT_OBJECT
         last = (indices.stop - 1) // ITEMS_PER_INPUT_OBJECT
@@ -182,7 +190,7 @@
             name = input_object_name(held.job.job, part)
             body = await self.platform.get_object(name)
             if body is None:
-                raise NotFoundError(f"The input {name} is gone")
+                raise NotFoundError(f"The input object {name} does not exist")
             items += msgspec.json.decode(body, type=list[Item])
         offset = first * ITEMS_PER_INPUT_OBJECT
         return items[indices.start - offset : indices.stop - offset]
@@ -192,12 +200,12 @@
     ) -> CommitOutcome:
         """Makes a chunk's results readable, if the segment is still held.
 
-        The held segment is brought up to date. A failure leaves it as it was,
-        so that the same call may be made again.
+        On success ``held`` is updated. On an error it is unchanged, and the call
+        may be repeated.
 
         Raises:
           PlatformUnavailableError: Nothing was committed.
-          AnswerLostError: The platform never said; call again.
+          AnswerLostError: The outcome is unknown.
         """
         name = result_object_name(
             held.job.job, held.segment, chunk, random_token(self._rng)
@@ -233,16 +241,19 @@
             verified = await self._verify_commit(held, row, chunk)
             if verified is not None:
                 return verified
-        raise AnswerLostError("The platform did not say whether it took the chunk")
+        raise AnswerLostError("The outcome of the chunk's commit is unknown")
 
     async def _verify_commit(
         self, held: HeldSegment, row: SegmentRow, chunk: int
     ) -> CommitOutcome | None:
-        """Reads rows back; None means that the commit may be tried again.
+        """Reads the rows back to learn the outcome of a commit.
+
+        Only the chunk's result pointer shows whether the commit took effect,
+        because a takeover keeps the pointers. A row older than ``held`` is a stale
+        read.
 
-        The pointer alone tells whether the commit took effect: the row may
-        have been taken over since, with the pointer kept. A row older than the
-        one held is a stale read and proves nothing.
+        Returns:
+          The outcome, or None if the commit may be retried.
         """
         key = segment_key(held.job.job, held.segment)
         rows = await self.platform.read([key, job_key(held.job.job)])
@@ -264,10 +275,14 @@
         try:
             await self.platform.delete_object(name)
         except (PlatformUnavailableError, AnswerLostError) as error:
-            _log.info("A result of no segment stays.", object=name, reason=str(error))
+            _log.info(
+                "Orphaned result object could not be deleted.",
+                object=name,
+                reason=str(error),
+            )
 
     async def release(self, held: HeldSegment) -> None:
-        """Gives a segment up, so that another instance claims it at once."""
+        """Releases a segment, so that another instance can claim it at once."""
         row = SegmentRow(holder=NO_HOLDER, incarnation=0, results=held.row.results)
         key = segment_key(held.job.job, held.segment)
         await self.platform.transact(
@@ -278,7 +293,7 @@
         )
 
     async def challenge(self, holder: InstanceId, challenger: InstanceId) -> None:
-        """Asks a silent holder for a sign of life."""
+        """Writes a liveness challenge to a holder, unless one is pending."""
         key = challenge_key(holder)
         await self.platform.transact(
             Transaction(
@@ -288,13 +303,13 @@
         )
 
     async def challenge_version(self, holder: InstanceId) -> int:
-        """Returns the version of a holder's challenge row; 0 for none."""
+        """Returns the storage version of a holder's challenge row, 0 if it has none."""
         key = challenge_key(holder)
         row = (await self.platform.read([key])).get(key)
         return row.version if row else ABSENT
 
-    async def answer_challenge(self, instance: InstanceId, version: int) -> None:
-        """Removes the challenge that was read with this version."""
+    async def respond_to_challenge(self, instance: InstanceId, version: int) -> None:
+        """Deletes the challenge row, if it still has this version."""
         key = challenge_key(instance)
         await self.platform.transact(
             Transaction(checks=[Check(key, version)], deletes=[key])
@@ -303,11 +318,11 @@
     async def check_held(
         self, instance: InstanceId, held: Sequence[HeldSegment]
     ) -> tuple[int, list[HeldSegment]]:
-        """Reads, in one call, what a holder must notice.
+        """Checks, with one read, for a challenge and for segments no longer held.
 
         Returns:
           The version of the challenge to this instance, 0 for none; and those
-          held segments that were taken over or whose job has ended.
+          segments that were taken over or whose job has ended.
         """
         own = challenge_key(instance)
         keys = {own}
@@ -320,7 +335,7 @@
 
 
 def _still_held(held: HeldSegment, rows: dict[str, Row]) -> bool:
-    """Compares holders, not versions: a commit of one's own may be under way."""
+    """Compares holders, not versions: a concurrent commit changes the version."""
     job = rows.get(job_key(held.job.job))
     segment = rows.get(segment_key(held.job.job, held.segment))
     if job is None or segment is None or job.version != held.job_version:
--- a/src/coppercleat/batch/_state.py
+++ b/src/coppercleat/batch/_state.py
@@ -1,4 +1,4 @@
-"""What the parts of the batch path share."""
+"""State shared by the components of one instance's batch processing."""
 
 from __future__ import annotations
 
@@ -22,25 +22,25 @@
 
 @attrs.define(kw_only=True, eq=False)
 class BatchState:
-    """One instance's part in all open jobs.
+    """Claimed segments, dependencies and wake-up events of one instance.
 
     Attributes:
       instance: This instance.
-      incarnation: Gives which start of it this is.
-      settings: Limits.
-      store: Jobs on the platform.
+      incarnation: Returns the incarnation of this instance.
+      settings: Batch settings.
+      store: Jobs in platform storage.
       fleet: Upstreams and other instances.
-      document: The configuration in force.
-      metrics: Where to count.
-      clock: Gives Unix time in seconds.
+      document: The current configuration.
+      metrics: Metrics of this instance.
+      clock: Returns Unix time in seconds.
       rng: Source of randomness.
-      pick_version: Draws a version of a deployment.
-      held: Segments that this instance holds.
-      draining: Whether nothing new is begun.
-      uncommitted_chunks: Chunks complete and not yet committed.
-      open_jobs: Open jobs at the last look.
-      wake: Set when items may be started.
-      poll_requested: Set when jobs should be looked at now.
+      pick_version: Selects a model version of a deployment.
+      held: Segments claimed by this instance.
+      draining: Whether the instance claims no segments and starts no chunks.
+      uncommitted_chunks: Number of complete chunks not yet committed.
+      open_jobs: Number of open jobs at the last poll.
+      wake: Set when items may have become ready to dispatch.
+      poll_requested: Set to poll for jobs before the interval has passed.
     """
 
     instance: InstanceId
@@ -62,18 +62,18 @@
 
     @property
     def at_uncommitted_limit(self) -> bool:
-        """Whether as many chunks wait for their commit as may."""
+        """Whether the limit of uncommitted chunks is reached."""
         return self.uncommitted_chunks >= self.settings.max_held_chunks
 
     def deployment_of(self, segment: SegmentWork) -> Deployment | None:
-        """Returns the deployment that a segment's items run on."""
+        """Returns the deployment of a segment's job, or None if it was removed."""
         return self.document.get(Kind.DEPLOYMENT, segment.held.job.deployment)
 
     def remove_segment(self, segment: SegmentWork) -> None:
-        """Forgets a segment that is finished or lost."""
+        """Removes a segment that is finished or no longer held."""
         if segment in self.held:
             self.held.remove(segment)
 
     def watch_interval_s(self) -> float:
-        """Returns how long a holder waits between looks at its segments."""
+        """Returns the interval in seconds between checks of the held segments."""
         return paced(self.settings.poll_s, self.fleet.live(), _MAX_WATCH_READS_PER_S)
--- a/src/coppercleat/batch/_store.py
+++ b/src/coppercleat/batch/_store.py
@@ -1,4 +1,4 @@
-"""Jobs as the platform keeps them, put together from what is done with them."""
+"""Access to the jobs in platform storage."""
 
 from __future__ import annotations
 
@@ -13,10 +13,9 @@
 
 
 class JobStore:
-    """Reads and writes jobs through the platform.
+    """Groups the operations on stored jobs.
 
-    Every method of its parts raises ``PlatformUnavailableError`` when the platform
-    is away.
+    Every operation raises ``PlatformUnavailableError`` if the platform is unavailable.
 
     Attributes:
       reader: Reads jobs and results.
@@ -32,12 +31,12 @@
         clock: Callable[[], float],
         rng: random.Random,
     ) -> None:
-        """Prepares the parts.
+        """Initializes the components.
 
         Args:
-          platform: Where rows and objects are.
-          clock: Gives Unix time in seconds.
-          rng: Source of ids.
+          platform: Storage of rows and objects.
+          clock: Returns Unix time in seconds.
+          rng: Source of ids and tokens.
         """
         self.reader = JobReader(platform)
         self.acceptance = JobAcceptance(platform, self.reader, clock=clock, rng=rng)
