--- a/src/coppercleat/orders/__init__.py
+++ b/src/coppercleat/orders/__init__.py
@@ -1,4 +1,4 @@
-"""Orders to engines: which versions to load, by one fenced holder a service."""
+"""Orders engines to load and unload versions, under one fenced lease per service."""
 
 from coppercleat.orders._lease import Lease, LeaseExpiryMonitor, LeaseRow, LeaseStore
 from coppercleat.orders._plan import (
--- a/src/coppercleat/orders/_lease.py
+++ b/src/coppercleat/orders/_lease.py
@@ -1,8 +1,8 @@
-"""A lease with a fencing number, kept as one row of the table.
+"""Lease with a fencing token, stored as one row.
 
-The row is renewed by its holder; others see that its version stands still and
-take it, with the next fencing number, once it has stood still for the lease's
-duration on their own clock. Clocks are never compared.
+The holder renews the row. Another instance may acquire the lease, with the next
+fencing token, once the row's version has not changed for the lease's duration on
+its own clock; clocks of different instances are not compared.
 """
 
 from __future__ import annotations
@@ -24,10 +24,13 @@
 
 
 class LeaseRow(msgspec.Struct, frozen=True, kw_only=True):
-    """Who holds a lease, and under which fencing number.
+    """Stored row of a lease.
 
     Attributes:
-      renewal: Grows with each renewal, so that the row changes.
+      holder: The instance that acquired the lease last.
+      incarnation: Incarnation of that instance.
+      fence: Fencing token; increases with each acquisition.
+      renewal: Number of renewals; changes the row at each.
     """
 
     holder: InstanceId
@@ -38,14 +41,15 @@
 
 @attrs.define(kw_only=True)
 class Lease:
-    """A lease as its holder sees it.
+    """A lease held by this instance.
 
     Attributes:
-      version: The row's version, which the next renewal checks.
-      valid_until: On the holder's clock, counted from before the last renewal
-        was sent, so that others cannot have counted less.
-      orders_allowed_at: On the holder's clock; before it no order may be given, for
-        an earlier holder's order may still be under way.
+      row: The row as last written.
+      version: Storage version of the row; the next renewal requires it unchanged.
+      valid_until: Monotonic time of expiry, counted from before the last renewal
+        was sent, so that no other instance sees it expire earlier.
+      orders_allowed_at: Monotonic time before which no order may be sent, since one
+        of the previous holder may be in flight.
     """
 
     row: LeaseRow
@@ -54,12 +58,17 @@
     orders_allowed_at: float
 
     def may_order(self, now: float, *, max_order_s: float) -> bool:
-        """Returns whether an order given now ends while the lease is valid."""
+        """Returns whether an order sent now ends while the lease is valid.
+
+        Args:
+          now: Monotonic time in seconds.
+          max_order_s: Timeout of an order in seconds.
+        """
         return self.orders_allowed_at <= now and now + max_order_s < self.valid_until
 
 
 class LeaseExpiryMonitor:
-    """Tells when a row of another holder has stood still for long enough.
+    """Detects that the lease of another holder has expired.
 
     Attributes:
       duration_s: The lease's duration in seconds.
@@ -71,7 +80,7 @@
         self._version_seen_at = 0.0
 
     def expired(self, version: int, now: float) -> bool:
-        """Takes the row's version as just read; returns whether it lapsed."""
+        """Returns whether the row kept this version for the duration of the lease."""
         if version != self._version:
             self._version = version
             self._version_seen_at = now
@@ -80,14 +89,14 @@
 
 
 class LeaseStore:
-    """Takes and renews leases through the platform."""
+    """Acquires and renews leases in platform storage."""
 
     def __init__(self, platform: Platform, *, duration_s: float) -> None:
         self.platform = platform
         self.duration_s = duration_s
 
     async def read(self, name: str) -> tuple[LeaseRow | None, int]:
-        """Returns a lease's row and version; None and 0 if nobody took it yet."""
+        """Returns a lease's row and version; None and 0 if it does not exist."""
         key = _key(name)
         row = (await self.platform.read([key])).get(key)
         if row is None:
@@ -104,38 +113,39 @@
         now: float,
         orders_wait_s: float,
     ) -> Lease | None:
-        """Takes a lease that is free or has lapsed.
+        """Acquires a lease that is free or has expired.
 
         Args:
-          name: The lease.
-          found: Its row and version as read.
-          holder: Who takes it.
-          incarnation: Which start of that instance.
-          now: The holder's clock before this call.
-          orders_wait_s: Seconds in which an earlier holder's order may still come.
+          name: Name of the lease.
+          found: Its row and storage version as read.
+          holder: The acquiring instance.
+          incarnation: Incarnation of that instance.
+          now: Monotonic time in seconds, from before this call.
+          orders_wait_s: Seconds for which an order of the previous holder may still
+            be in flight.
 
         Returns:
-          The lease, or None if another was faster or no answer came.
+          The lease, or None after a concurrent change or a lost response.
         """
-        before, version = found
+        previous, version = found
         row = LeaseRow(
             holder=holder,
             incarnation=incarnation,
-            fence=before.fence + 1 if before else 1,
+            fence=previous.fence + 1 if previous else 1,
         )
-        taken = await self._write(name, row, version)
-        if taken is None:
+        new_version = await self._write(name, row, version)
+        if new_version is None:
             return None
-        orders_allowed_at = now + orders_wait_s if before else now
+        orders_allowed_at = now + orders_wait_s if previous else now
         return Lease(
             row=row,
-            version=taken,
+            version=new_version,
             valid_until=now + self.duration_s,
             orders_allowed_at=orders_allowed_at,
         )
 
     async def renew(self, name: str, lease: Lease, *, now: float) -> bool:
-        """Renews a lease; returns False if it is lost or no answer came."""
+        """Renews a lease; returns False if it is lost or the response was lost."""
         row = msgspec.structs.replace(lease.row, renewal=lease.row.renewal + 1)
         version = await self._write(name, row, lease.version)
         if version is None:
--- a/src/coppercleat/orders/_plan.py
+++ b/src/coppercleat/orders/_plan.py
@@ -1,4 +1,4 @@
-"""Compares what engines have loaded with what deployments want."""
+"""Plans orders from the loaded and the desired versions of engines."""
 
 from __future__ import annotations
 
@@ -14,11 +14,12 @@
 
 
 class DesiredVersions(msgspec.Struct, frozen=True, kw_only=True):
-    """What a service's engines should have.
+    """Versions that a service's engines should have loaded.
 
     Attributes:
-      versions: Versions and adapters to have loaded.
-      min_serving: Engines that must have each before anything is unloaded.
+      versions: Versions and adapters to load on every engine.
+      min_serving: Number of engines that must have loaded each version before any
+        version is unloaded.
     """
 
     versions: frozenset[str]
@@ -26,7 +27,13 @@
 
 
 class Order(msgspec.Struct, frozen=True):
-    """One order: ``load`` or ``unload`` a version on an engine."""
+    """Order to load or unload a version on an engine.
+
+    Attributes:
+      upstream: The engine.
+      action: ``load`` or ``unload``.
+      version: The version or adapter.
+    """
 
     upstream: UpstreamId
     action: str
@@ -36,9 +43,9 @@
 def desired_versions(
     deployments: Iterable[Deployment], service: str
 ) -> DesiredVersions:
-    """Returns what all deployments of a service want together.
+    """Returns the union of the versions of a service's deployments.
 
-    A version of weight 0 is kept off; an adapter is loaded like a version.
+    Versions of weight 0 are left out; adapters count as versions.
     """
     versions: set[str] = set()
     min_serving = 1
@@ -52,42 +59,42 @@
 
 
 def plan_orders(
-    wanted: DesiredVersions,
+    desired: DesiredVersions,
     loaded: Mapping[UpstreamId, Collection[str]],
     *,
     max_loads: int,
     may_unload: bool,
 ) -> list[Order]:
-    """Returns the orders to give now; empty when nothing differs.
+    """Returns the orders to send now, empty if engines match the desired versions.
 
-    Loads come first and are bounded, since the weight store is rate-limited
-    over the whole fleet: one holder a service gives all of them. Nothing is
-    unloaded before every wanted version serves on enough engines.
+    Loads come first, the versions on the fewest engines before others, and are
+    limited because the weight store is rate-limited. Nothing is unloaded before
+    enough engines have loaded every desired version.
 
     Args:
-      wanted: What should be loaded.
-      loaded: What each engine has; engines without a report are left out.
-      max_loads: Loads to order now at most.
-      may_unload: Whether callers have had time to see the configuration.
+      desired: The desired versions.
+      loaded: Loaded versions of each engine that reported them.
+      max_loads: Maximum number of loads to order.
+      may_unload: Whether all instances have had time to read the configuration.
     """
     loads = [
         Order(upstream, LOAD, version)
         for upstream in sorted(loaded)
-        for version in sorted(wanted.versions - set(loaded[upstream]))
+        for version in sorted(desired.versions - set(loaded[upstream]))
     ]
     if loads:
         by_scarcity = sorted(
             loads, key=lambda o: (_serving_count(o.version, loaded), o.upstream)
         )
-        if not _enough_serving(wanted, loaded) or not may_unload:
+        if not _enough_serving(desired, loaded) or not may_unload:
             return by_scarcity[:max_loads]
         loads = by_scarcity[:max_loads]
-    if not wanted.versions or not may_unload or not _enough_serving(wanted, loaded):
+    if not desired.versions or not may_unload or not _enough_serving(desired, loaded):
         return loads
     unloads = [
         Order(upstream, UNLOAD, version)
         for upstream in sorted(loaded)
-        for version in sorted(set(loaded[upstream]) - wanted.versions)
+        for version in sorted(set(loaded[upstream]) - desired.versions)
     ]
     return loads + unloads
 
@@ -97,7 +104,7 @@
 
 
 def _enough_serving(
-    wanted: DesiredVersions, loaded: Mapping[UpstreamId, Collection[str]]
+    desired: DesiredVersions, loaded: Mapping[UpstreamId, Collection[str]]
 ) -> bool:
-    needed = min(wanted.min_serving, len(loaded))
-    return all(_serving_count(v, loaded) >= needed for v in wanted.versions)
+    needed = min(desired.min_serving, len(loaded))
+    return all(_serving_count(v, loaded) >= needed for v in desired.versions)
--- a/src/coppercleat/orders/_reconciler.py
+++ b/src/coppercleat/orders/_reconciler.py
@@ -1,4 +1,4 @@
-"""Keeps engines in the wanted state, for ever, as the one fenced holder."""
+"""Reconciles the versions loaded on engines with the deployments."""
 
 from __future__ import annotations
 
@@ -27,30 +27,30 @@
 
 
 class Engines(Protocol):
-    """What the keeper needs to know of engines."""
+    """Engines and instances of the fleet."""
 
     def engines_of(self, service: str) -> list[UpstreamRecord]:
-        """Returns the engines of a service that are known and not leaving."""
+        """Returns the known engines of a service that are not draining."""
         ...
 
     def record(self, upstream: UpstreamId) -> UpstreamRecord | None:
-        """Returns the record of an engine, if it is known."""
+        """Returns the record of an engine, or None if it is unknown."""
         ...
 
     def online_client(self, upstream: UpstreamId) -> UpstreamClient:
-        """Returns a client of an engine."""
+        """Returns the client of an engine."""
         ...
 
     def alive(self) -> list[InstanceId]:
-        """Returns the instances thought alive."""
+        """Returns the instances considered alive."""
         ...
 
 
 class VersionReconciler:
-    """Holds the leases of the services that fall to this instance.
+    """Reconciles the services assigned to this instance, under a lease for each.
 
     Attributes:
-      leases: Leases held, by service.
+      leases: Leases held by this instance, by service.
     """
 
     def __init__(
@@ -73,11 +73,11 @@
         self.leases: dict[str, Lease] = {}
         self._store = LeaseStore(platform, duration_s=settings.lease_s)
         self._expiry_monitors: dict[str, LeaseExpiryMonitor] = {}
-        self._seen_revision = 0
-        self._seen_at = 0.0
+        self._last_revision = 0
+        self._revision_changed_at = 0.0
 
     async def run(self) -> None:
-        """Works until cancelled."""
+        """Reconciles at each poll interval until cancelled."""
         while True:
             await trio.sleep(self.settings.poll_s)
             self._record_revision(trio.current_time())
@@ -85,19 +85,23 @@
                 try:
                     await self._reconcile(service)
                 except CoppercleatError as error:
-                    _log.warning("Orders put off.", service=service, why=error.message)
+                    _log.warning(
+                        "Reconciliation failed; retrying at the next poll.",
+                        service=service,
+                        why=error.message,
+                    )
 
     def _record_revision(self, now: float) -> None:
-        if self.document.revision != self._seen_revision:
-            self._seen_revision = self.document.revision
-            self._seen_at = now
+        if self.document.revision != self._last_revision:
+            self._last_revision = self.document.revision
+            self._revision_changed_at = now
 
     def _services(self) -> list[str]:
         deployments = self.document.bodies(Kind.DEPLOYMENT)
         return sorted({deployment.service for _, deployment in deployments})
 
     async def _reconcile(self, service: str) -> None:
-        """Does one round for a service, if it falls to this instance."""
+        """Reconciles a service once, if it is assigned to this instance."""
         chosen = rendezvous_owner(f"orders/{service}", self.engines.alive())
         if chosen != self.instance:
             self.leases.pop(service, None)
@@ -107,21 +111,21 @@
         if lease is None:
             return
         now = trio.current_time()
-        wanted = desired_versions(
+        desired = desired_versions(
             (body for _, body in self.document.bodies(Kind.DEPLOYMENT)), service
         )
         loaded = await self._query_loaded_versions(service)
-        drift = _drift(wanted, loaded.values())
+        drift = _count_drift(desired, loaded.values())
         self.metrics.drift.set({"service": service}, drift)
-        may_unload = now - self._seen_at >= self.settings.unload_after_s
+        may_unload = now - self._revision_changed_at >= self.settings.unload_after_s
         orders = plan_orders(
-            wanted, loaded, max_loads=self.settings.max_loads, may_unload=may_unload
+            desired, loaded, max_loads=self.settings.max_loads, may_unload=may_unload
         )
         for order in orders:
             await self._send_order(service, lease, order)
 
     async def _ensure_lease(self, service: str) -> Lease | None:
-        """Renews the lease, or takes it when it is free."""
+        """Returns the lease, renewed or acquired if needed; None if it is not held."""
         now = trio.current_time()
         lease = self.leases.get(service)
         if lease is not None and now < lease.valid_until - self.settings.lease_s / 2:
@@ -133,11 +137,11 @@
             return None
         found = await self._store.read(service)
         row, version = found
-        own = row is not None and row.holder == self.instance
+        held_before = row is not None and row.holder == self.instance
         monitor = self._expiry_monitors.setdefault(
             service, LeaseExpiryMonitor(duration_s=self.settings.lease_s)
         )
-        if row is not None and not own and not monitor.expired(version, now):
+        if row is not None and not held_before and not monitor.expired(version, now):
             return None
         lease = await self._store.acquire(
             service,
@@ -149,11 +153,11 @@
         )
         if lease is not None:
             self.leases[service] = lease
-            _log.info("Lease taken.", service=service, fence=lease.row.fence)
+            _log.info("Lease acquired.", service=service, fence=lease.row.fence)
         return lease
 
     async def _query_loaded_versions(self, service: str) -> dict[UpstreamId, list[str]]:
-        """Asks each engine what it has loaded; those that do not say are left out."""
+        """Returns the versions loaded on each engine that responds."""
         reports: dict[UpstreamId, list[str]] = {}
 
         async def ask(record: UpstreamRecord) -> None:
@@ -168,7 +172,7 @@
         return reports
 
     async def _send_order(self, service: str, lease: Lease, order: Order) -> None:
-        """Gives one order, if the lease outlasts the longest it may take."""
+        """Sends an order, if the lease stays valid until the order's timeout."""
         now = trio.current_time()
         max_order_s = self.settings.order_timeout_s
         if not lease.may_order(now, max_order_s=max_order_s):
@@ -187,7 +191,7 @@
             if record is not None and record.report is not None:
                 record.report.versions = versions
         _log.info(
-            "Order given.",
+            "Order sent.",
             service=service,
             upstream=order.upstream,
             action=order.action,
@@ -197,5 +201,5 @@
         )
 
 
-def _drift(wanted: DesiredVersions, loaded: Iterable[list[str]]) -> int:
-    return sum(set(versions) != wanted.versions for versions in loaded)
+def _count_drift(desired: DesiredVersions, loaded: Iterable[list[str]]) -> int:
+    return sum(set(versions) != desired.versions for versions in loaded)
--- a/tests/features/steps/order_steps.py
+++ b/tests/features/steps/order_steps.py
@@ -120,7 +120,7 @@
 @when("the holder of the lease is {done}")
 def act_on_holder(context, done):
     for number, name in enumerate(context.fleet.entries, start=1):
-        if '"Lease taken."' in context.fleet.processes[name].output():
+        if '"Lease acquired."' in context.fleet.processes[name].output():
             context.holder = number
     act_on_entry(context, context.holder, done)
 
