--- a/src/coppercleat/batch/__init__.py
+++ b/src/coppercleat/batch/__init__.py
@@ -3,7 +3,7 @@
 from coppercleat.batch._acceptance import Submission, SubmissionResult
 from coppercleat.batch._challenges import ChallengeTracker
 from coppercleat.batch._claim_scheduler import ClaimScheduler, OpenJob
-from coppercleat.batch._dispatch_policies import (
+from coppercleat.batch._feed import (
     DISPATCH_POLICIES,
     DispatchPolicy,
     UpstreamUsage,
--- a/src/coppercleat/batch/_claimer.py
+++ b/src/coppercleat/batch/_claimer.py
@@ -8,7 +8,7 @@
 
 from coppercleat.batch._challenges import ChallengeTracker
 from coppercleat.batch._claim_scheduler import ClaimScheduler, OpenJob
-from coppercleat.batch._dispatcher import ItemDispatcher
+from coppercleat.batch._feeding import ItemDispatcher
 from coppercleat.batch._rows import NO_HOLDER, SegmentRow, challenge_key
 from coppercleat.batch._segment_work import SegmentWork
 from coppercleat.batch._segments import ClaimRefusal, HeldSegment
--- a/src/coppercleat/batch/_dispatcher.py
+++ b/src/coppercleat/batch/_feeding.py
@@ -8,7 +8,7 @@
 import attrs
 import trio
 
-from coppercleat.batch._dispatch_policies import (
+from coppercleat.batch._feed import (
     DISPATCH_POLICIES,
     DispatchPolicy,
     UpstreamUsage,
--- a/src/coppercleat/batch/_runner.py
+++ b/src/coppercleat/batch/_runner.py
@@ -8,7 +8,7 @@
 
 from coppercleat.batch._claimer import SegmentClaimer
 from coppercleat.batch._committer import ChunkCommitter
-from coppercleat.batch._dispatcher import ItemDispatcher
+from coppercleat.batch._feeding import ItemDispatcher
 from coppercleat.batch._lateness_monitor import LatenessMonitor
 from coppercleat.batch._segment_work import SegmentWork
 from coppercleat.batch._state import BatchState
