--- a/src/coppercleat/batch/_claimer.py
+++ b/src/coppercleat/batch/_claimer.py
@@ -19,9 +19,12 @@
 from coppercleat.observability import part_logger
 from coppercleat.storage import AnswerLostError, Check, paced
 
+# Claims choose at random among these, so that instances seldom conflict.
 _MAX_CLAIM_CANDIDATES = 64
 _MAX_CLAIM_READS_PER_S = 50.0
-_CHALLENGE_WATCH_INTERVALS = 2.5
+# Check intervals that a holder has at least to respond to a challenge.
+_CHALLENGE_CHECK_INTERVALS = 2.5
+# Sweeps continue for this time after a failed round.
 _SWEEP_PERIOD_S = 10.0
 
 _log = part_logger("batch")
@@ -107,7 +110,7 @@
         for segment in list(self.state.held):
             deployment = self.state.deployment_of(segment)
             service = deployment.service if deployment else None
-            if service in services or segment in busy or not segment.waiting:
+            if service in services or segment in busy or not segment.queued_items:
                 continue
             if segment.commit_lock.locked():
                 continue
@@ -145,12 +148,14 @@
 
     def _needs_segments(self) -> bool:
         """Returns whether fewer items are queued than the upstreams could run."""
-        room = self._dispatcher.upstream_count() * self.state.settings.max_concurrency
-        waiting = sum(segment.waiting for segment in self.state.held)
+        capacity = (
+            self._dispatcher.upstream_count() * self.state.settings.max_concurrency
+        )
+        queued_items = sum(segment.queued_items for segment in self.state.held)
         return (
             not self.state.draining
             and not self.state.at_uncommitted_limit
-            and waiting < room
+            and queued_items < capacity
         )
 
     async def _claim_from(self, job: OpenJob) -> bool:
@@ -175,8 +180,10 @@
         for number in open_segments:
             if number not in rows:
                 continue
-            free, challenge = await self._may_take_over(rows[number][0])
-            if free and await self._claim_segment(job, number, rows[number], challenge):
+            may_take_over, challenge = await self._may_take_over(rows[number][0])
+            if may_take_over and await self._claim_segment(
+                job, number, rows[number], challenge
+            ):
                 return True
         unclaimed = [number for number in open_segments if number not in rows]
         if not unclaimed:
@@ -185,7 +192,7 @@
         return await self._claim_segment(job, number, None, None)
 
     async def _may_take_over(self, row: SegmentRow) -> tuple[bool, Check | None]:
-        """Returns whether a segment may be taken over, and the condition to check.
+        """Returns whether a segment may be taken over, and on which condition.
 
         A row that lists this instance as holder of a segment it does not process
         is from an earlier incarnation or from a claim that failed halfway.
@@ -205,7 +212,7 @@
         now = trio.current_time()
         self._challenges.response_timeout_s = max(
             self.state.settings.challenge_s,
-            _CHALLENGE_WATCH_INTERVALS * self.state.watch_interval_s(),
+            _CHALLENGE_CHECK_INTERVALS * self.state.check_interval_s(),
         )
         try:
             version = await self.state.store.segments.challenge_version(holder)
--- a/src/coppercleat/batch/_feed.py
+++ b/src/coppercleat/batch/_feed.py
@@ -38,11 +38,11 @@
 class DispatchPolicy(Protocol):
     """Limits batch items on one upstream."""
 
-    def limit(self, view: UpstreamUsage, now: float) -> int:
+    def limit(self, usage: UpstreamUsage, now: float) -> int:
         """Returns how many batch items may run.
 
         Args:
-          view: Current use of the upstream.
+          usage: Current usage of the upstream.
           now: Monotonic time in seconds.
         """
         ...
@@ -67,18 +67,18 @@
 class UnlimitedPolicy:
     """Allows the maximum, regardless of online requests."""
 
-    def limit(self, view: UpstreamUsage, now: float) -> int:
+    def limit(self, usage: UpstreamUsage, now: float) -> int:
         """See ``DispatchPolicy.limit``."""
-        return view.max_concurrency
+        return usage.max_concurrency
 
 
 @dispatch_policy("static")
 class StaticSharePolicy:
     """Allows a fixed fraction of the maximum, regardless of online requests."""
 
-    def limit(self, view: UpstreamUsage, now: float) -> int:
+    def limit(self, usage: UpstreamUsage, now: float) -> int:
         """See ``DispatchPolicy.limit``."""
-        return max(1, view.max_concurrency // _STATIC_DIVISOR)
+        return max(1, usage.max_concurrency // _STATIC_DIVISOR)
 
 
 @dispatch_policy("yield")
@@ -97,20 +97,20 @@
     def __init__(self) -> None:
         self._last_online_at = float("-inf")
 
-    def limit(self, view: UpstreamUsage, now: float) -> int:
+    def limit(self, usage: UpstreamUsage, now: float) -> int:
         """See ``DispatchPolicy.limit``."""
-        if view.online:
+        if usage.online:
             self._last_online_at = now
             return 0
         idle_s = now - self._last_online_at - _ONLINE_COOLDOWN_S
         if idle_s < 0:
             return 0
         if idle_s < self.reduced_s:
-            return max(1, view.max_concurrency // _REDUCED_DIVISOR)
+            return max(1, usage.max_concurrency // _REDUCED_DIVISOR)
         doublings = min(
             _MAX_DOUBLINGS, (idle_s - self.reduced_s) / _DOUBLING_INTERVAL_S
         )
-        return min(view.max_concurrency, _INITIAL_LIMIT << int(doublings))
+        return min(usage.max_concurrency, _INITIAL_LIMIT << int(doublings))
 
 
 @dispatch_policy("reserve")
--- a/src/coppercleat/batch/_feeding.py
+++ b/src/coppercleat/batch/_feeding.py
@@ -166,12 +166,12 @@
         }
 
     def _limit(self, dispatch: _UpstreamDispatch, now: float) -> int:
-        view = UpstreamUsage(
+        usage = UpstreamUsage(
             online=self.state.fleet.online_total(dispatch.record.upstream),
             batch=len(dispatch.running),
             max_concurrency=self.state.settings.max_concurrency,
         )
-        return dispatch.policy.limit(view, now)
+        return dispatch.policy.limit(usage, now)
 
     def _preempt_excess(self, dispatch: _UpstreamDispatch, now: float) -> None:
         """Cancels items over the limit, the latest started first."""
--- a/src/coppercleat/batch/_runner.py
+++ b/src/coppercleat/batch/_runner.py
@@ -97,7 +97,7 @@
     async def _check_held_forever(self) -> None:
         while True:
             await trio.sleep(
-                self.state.watch_interval_s() * self.state.rng.uniform(0.75, 1.0)
+                self.state.check_interval_s() * self.state.rng.uniform(0.75, 1.0)
             )
             if not self.state.held:
                 continue
--- a/src/coppercleat/batch/_segment_work.py
+++ b/src/coppercleat/batch/_segment_work.py
@@ -37,7 +37,7 @@
 
     Attributes:
       index: Index of the item in the job.
-      generated: Text generated so far, with which the next attempt resumes.
+      generated: Tokens generated so far; the next attempt resumes after them.
       attempts: Number of attempts started.
       refusals: Number of attempts to which the upstream responded with an error.
       lost_attempts: Attempts without a response.
@@ -70,7 +70,7 @@
         Args:
           max_attempts: Number of failures of the item itself at which it fails.
         """
-        attributed = sum(s.breaker.successes > s.successes for s in self.lost_attempts)
+        attributed = sum(a.breaker.successes > a.successes for a in self.lost_attempts)
         lost = len(self.lost_attempts)
         return (
             self.refusals + attributed >= max_attempts
@@ -111,8 +111,8 @@
         self._started_chunks: set[int] = set()
 
     @property
-    def waiting(self) -> int:
-        """Number of queued items."""
+    def queued_items(self) -> int:
+        """Number of items waiting to be dispatched."""
         return len(self._queue)
 
     @property
--- a/src/coppercleat/batch/_state.py
+++ b/src/coppercleat/batch/_state.py
@@ -17,7 +17,7 @@
 from coppercleat.settings import BatchSettings
 from coppercleat.storage import paced
 
-_MAX_WATCH_READS_PER_S = 300.0
+_MAX_CHECK_READS_PER_S = 300.0
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -74,6 +74,6 @@
         if segment in self.held:
             self.held.remove(segment)
 
-    def watch_interval_s(self) -> float:
+    def check_interval_s(self) -> float:
         """Returns the interval in seconds between checks of the held segments."""
-        return paced(self.settings.poll_s, self.fleet.live(), _MAX_WATCH_READS_PER_S)
+        return paced(self.settings.poll_s, self.fleet.live(), _MAX_CHECK_READS_PER_S)
--- a/src/coppercleat/orders/_reconciler.py
+++ b/src/coppercleat/orders/_reconciler.py
@@ -102,8 +102,8 @@
 
     async def _reconcile(self, service: str) -> None:
         """Reconciles a service once, if it is assigned to this instance."""
-        chosen = rendezvous_owner(f"orders/{service}", self.engines.alive())
-        if chosen != self.instance:
+        owner = rendezvous_owner(f"orders/{service}", self.engines.alive())
+        if owner != self.instance:
             self.leases.pop(service, None)
             self._expiry_monitors.pop(service, None)
             return
@@ -160,7 +160,7 @@
         """Returns the versions loaded on each engine that responds."""
         reports: dict[UpstreamId, list[str]] = {}
 
-        async def ask(record: UpstreamRecord) -> None:
+        async def query(record: UpstreamRecord) -> None:
             report = await self.engines.online_client(record.upstream).load()
             if report is not None:
                 reports[record.upstream] = report.versions
@@ -168,7 +168,7 @@
 
         async with trio.open_nursery() as nursery:
             for record in self.engines.engines_of(service):
-                nursery.start_soon(ask, record)
+                nursery.start_soon(query, record)
         return reports
 
     async def _send_order(self, service: str, lease: Lease, order: Order) -> None:
