--- a/tests/features/steps/order_steps.py
+++ b/tests/features/steps/order_steps.py
@@ -1,4 +1,4 @@
-"""Steps that change what engines should have, and see what they got."""
+"""Steps that change the desired versions and check those loaded on engines."""
 
 import json
 
@@ -59,8 +59,8 @@
     context.fleet.run(run)
 
 
-@when("the deployment wants {versions} at a living entry")
-def want_at_living(context, versions):
+@when("the deployment wants {versions} at another entry")
+def want_at_another(context, versions):
     number = context.holder % len(context.fleet.entries) + 1
 
     async def run():
@@ -79,7 +79,7 @@
             "OperatorService",
             "Apply",
             seenRevision=2,
-            changeId="at a living entry",
+            changeId="at another entry",
             operations=[operation],
         )
 
@@ -125,13 +125,13 @@
     act_on_entry(context, context.holder, done)
 
 
-@when("the old holder is resumed")
+@when("the paused holder is resumed")
 def resume_holder(context):
     act_on_entry(context, context.holder, "resumed")
 
 
-@when('an old holder orders engine {number:d} to unload "{version}"')
-def old_order(context, number, version):
+@when('a previous holder orders engine {number:d} to unload "{version}"')
+def stale_order(context, number, version):
     name = engines(context)[number - 1]
     url = f"http://127.0.0.1:{context.fleet.ports[name]}/orders"
     body = {"action": "unload", "version": version, "fence": 0}
@@ -152,7 +152,7 @@
         name: [] if text == "-" else text.split(",")
         for name, text in zip("abc", row["loaded"].split(), strict=True)
     }
-    versions = frozenset(row["wanted"].replace("-", "").split(",")) - {""}
+    versions = frozenset(row["desired"].replace("-", "").split(",")) - {""}
     planned = plan_orders(
         DesiredVersions(versions=versions, min_serving=1),
         loaded,
@@ -160,5 +160,5 @@
         may_unload=row["unload"] == "yes",
     )
     signs = {"load": "+", "unload": "-"}
-    said = [f"{o.upstream}{signs[o.action]}{o.version}" for o in planned]
-    assert (" ".join(said) or "nothing") == orders, said
+    formatted = [f"{o.upstream}{signs[o.action]}{o.version}" for o in planned]
+    assert (" ".join(formatted) or "nothing") == orders, formatted
