--- a/tests/features/configuration.feature
+++ b/tests/features/configuration.feature
@@ -111,7 +111,7 @@
     Given a fleet of 3 zones, each with 1 entries and 1 engines
       | option  | value |
       | proxied | true  |
-    When a lot of 1200 items is submitted with key "sunday"
-    And the lot has begun
+    When a batch job of 1200 items is submitted with key "sunday"
+    And the batch job has started
     And zone "vitoria-c" is cut off from the others
-    Then the lot completes at entry 1 with every result right
+    Then the batch job completes at entry 1 with all results correct
--- a/tests/features/product.feature
+++ b/tests/features/product.feature
@@ -124,9 +124,9 @@
   Scenario: A lot is submitted by reference to the object store
     Given a fleet of 1 zones, each with 1 entries and 1 engines
     When the object "lots/week" holds 90 items
-    And a lot is submitted from the object "lots/week"
-    Then the lot completes with every result right
-    When a lot is submitted from the object "lots/missing"
+    And a batch job is submitted from the object "lots/week"
+    Then the batch job completes with all results correct
+    When a batch job is submitted from the object "lots/missing"
     Then the submission is refused as not_found, NOT_RUN
 
   Scenario: A watcher sees each revision as it comes into force
--- a/tests/features/steps/batch_steps.py
+++ b/tests/features/steps/batch_steps.py
@@ -1,4 +1,4 @@
-"""Steps that submit lots, follow them and check their results."""
+"""Steps that submit batch jobs and check their state and results."""
 
 import json
 import time
@@ -16,13 +16,13 @@
 
 
 def lines_of(count):
-    """Returns a lot as JSON Lines."""
+    """Returns the items of a batch job as JSON Lines."""
     items = [{"prompt": f"item {i} of the lot", "id": f"m{i}"} for i in range(count)]
     return b"".join(json.dumps(item).encode() + b"\n" for item in items)
 
 
 def submit(context, lines, number=1, **spec):
-    """Submits a lot and keeps the answer, or the refusal."""
+    """Submits a batch job; stores the response or the error in the context."""
     spec = {"deployment": "menus", "maxTokens": 8} | spec
 
     async def run():
@@ -45,7 +45,7 @@
 
 
 def some_entry(context):
-    """Returns the name of an instance that runs, the last of them."""
+    """Returns the name of the last running instance."""
     names = [
         name
         for name in context.fleet.entries
@@ -54,55 +54,55 @@
     return names[-1]
 
 
-@when('a lot of {count:d} items is submitted with key "{key}"')
-def submit_lot(context, count, key):
+@when('a batch job of {count:d} items is submitted with key "{key}"')
+def submit_job(context, count, key):
     submit(context, lines_of(count), jobKey=key)
 
 
-@when('a lot of {count:d} items is submitted for "{deployment}"')
+@when('a batch job of {count:d} items is submitted for "{deployment}"')
 def submit_for(context, count, deployment):
     submit(context, lines_of(count), deployment=deployment)
 
 
-@when("a lot of {count:d} items of {tokens:d} tokens is submitted")
+@when("a batch job of {count:d} items of {tokens:d} tokens is submitted")
 def submit_long(context, count, tokens):
     submit(context, lines_of(count), maxTokens=tokens)
 
 
-@when("a lot of {count:d} items is submitted, due in {seconds:d} seconds")
+@when("a batch job of {count:d} items is submitted, due in {seconds:d} seconds")
 def submit_due(context, count, seconds):
     context.due_at = time.time() + seconds
     submit(context, lines_of(count), dueAt=context.due_at)
 
 
-@when("a lot with the lines {lines} is submitted")
-@when("a lot with the lines  is submitted")
+@when("a batch job with the lines {lines} is submitted")
+@when("a batch job with the lines  is submitted")
 def submit_text(context, lines=""):
     text = lines.replace(";", "\n").encode().replace(b"\\xff", b"\xff")
     submit(context, text)
 
 
-@when("the same lot is submitted again at entry {number:d}")
+@when("the same batch job is submitted again at entry {number:d}")
 def submit_again(context, number):
     context.first = context.job
     submit(context, lines_of(context.count), number, jobKey="sunday")
 
 
-@when("another lot is submitted with the same key")
+@when("another batch job is submitted with the same key")
 def submit_other(context):
     submit(context, lines_of(context.count + 1), jobKey="sunday")
 
 
-@when("the lot has begun")
-def has_begun(context):
-    async def begun():
+@when("the batch job has started")
+def has_started(context):
+    async def started():
         return await context.fleet.executions()
 
-    context.fleet.run(lambda: until("the lot begins", begun))
+    context.fleet.run(lambda: until("the batch job starts", started))
 
 
-@when("the feeder of engine {number:d} is {done}")
-def act_on_feeder(context, number, done):
+@when("the batch dispatcher of engine {number:d} is {done}")
+def act_on_dispatcher(context, number, done):
     name = engines(context)[number - 1]
     status = context.fleet.run(context.fleet.status, entry(context, 1))
     feeder = next(u["feeder"] for u in status["upstreams"] if u["upstream"] == name)
@@ -117,7 +117,7 @@
     act_on_entry(context, second, "killed")
 
 
-@when("nothing is mended")
+@when("nothing is recovered")
 def nothing(context):
     pass
 
@@ -149,7 +149,7 @@
     )
 
 
-@when("the lot is cancelled at entry {number:d}")
+@when("the batch job is cancelled at entry {number:d}")
 def cancel(context, number):
     async def run():
         async with context.fleet.client(entry(context, number)) as client:
@@ -164,9 +164,9 @@
 
 @when(
     "{count:d} requests of {tokens:d} tokens run at entry {number:d}"
-    " while no batch is left"
+    " after all batch items are preempted"
 )
-def run_until_yielded(context, count, tokens, number):
+def run_until_preempted(context, count, tokens, number):
     context.outcomes = [Outcome(f"swap {index}") for index in range(count)]
     batch_tokens = context.tokens
 
@@ -184,7 +184,7 @@
         ):
             for outcome in context.outcomes:
                 nursery.start_soon(lambda o=outcome: o.infer(client, maxTokens=tokens))
-            await until("batch has let go", only_online)
+            await until("all batch items are preempted", only_online)
 
     context.fleet.run(run)
     for outcome in context.outcomes:
@@ -193,7 +193,7 @@
     context.tokens = batch_tokens
 
 
-@then("it is answered as the first job")
+@then("the response names the first job")
 def first_job(context):
     assert context.refusal is None, context.refusal
     assert context.answer["jobId"] == context.first
@@ -220,14 +220,14 @@
     assert len(answer.get("jobs", [])) == count, answer
 
 
-@then("no input is left behind")
+@then("no input object is left")
 def no_input(context):
     report = context.fleet.run(lambda: context.fleet.control("platform"))
     assert report["objects"] == [], report["objects"]
 
 
 def check_complete(context, name, failing=()):
-    """Waits for the end of the lot and checks every result."""
+    """Waits for the end of the batch job and checks every result."""
 
     async def run():
         async with context.fleet.client(name) as client:
@@ -240,7 +240,7 @@
                     return None
                 return job if job["state"] != OPEN else None
 
-            job = await until("the lot ends", ended, wait_s=90)
+            job = await until("the batch job ends", ended, wait_s=90)
             assert job["state"] == "JOB_STATE_COMPLETED", job
             return [result async for result in read_results(client, context.job)]
 
@@ -257,17 +257,17 @@
         assert result["text"] == expected_text(prompt, context.tokens), result
 
 
-@then("the lot completes with every result right")
+@then("the batch job completes with all results correct")
 def complete(context):
     check_complete(context, some_entry(context))
 
 
-@then("the lot completes at entry {number:d} with every result right")
+@then("the batch job completes at entry {number:d} with all results correct")
 def complete_at(context, number):
     check_complete(context, entry(context, number))
 
 
-@then("the lot completes with every result right but item {index:d}")
+@then("the batch job completes with all results correct but item {index:d}")
 def complete_but(context, index):
     check_complete(context, some_entry(context), failing=(index,))
 
@@ -289,7 +289,7 @@
     assert context.fleet.run(run) <= times
 
 
-@then("the lot is cancelled for everybody")
+@then("the batch job is cancelled at every instance")
 def cancelled(context):
     for name in context.fleet.entries:
 
@@ -300,7 +300,7 @@
         assert context.fleet.run(run)["state"] == "JOB_STATE_CANCELLED"
 
 
-@then("its results stay as they are")
+@then("its results do not change")
 def results_stay(context):
     async def run():
         async with context.fleet.client() as client:
@@ -312,7 +312,7 @@
     context.fleet.run(run)
 
 
-@then("nothing of the lot runs any more")
+@then("no item of the batch job runs")
 def nothing_runs(context):
     async def idle():
         for name in engines(context):
@@ -330,7 +330,7 @@
     context.fleet.run(run)
 
 
-@then("the lot is shown as late before it is due")
+@then("the batch job is shown as late before it is due")
 def shown_late(context):
     async def run():
         async with context.fleet.client() as client:
@@ -338,7 +338,7 @@
             async def late():
                 return (await get_job(context, client)).get("late")
 
-            await until("the lot is late", late)
+            await until("the batch job is late", late)
             assert time.time() < context.due_at
             process = context.fleet.processes[entry(context, 1)]
 
--- a/tests/features/steps/product_steps.py
+++ b/tests/features/steps/product_steps.py
@@ -255,7 +255,7 @@
     assert httpcore.request("PUT", url, content=lot(count).encode()).status == 200
 
 
-@when('a lot is submitted from the object "{name}"')
+@when('a batch job is submitted from the object "{name}"')
 def submit_from(context, name):
     spec = {"deployment": "menus", "maxTokens": 8, "inputObject": name}
 
