--- a/src/coppercleat/batch/_acceptance.py
+++ b/src/coppercleat/batch/_acceptance.py
@@ -1,4 +1,4 @@
-"""Accepts jobs: input stored first, then one transaction that makes it a job."""
+"""Accepts jobs: stores the input, then creates the job in one transaction."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from coppercleat.batch._jobs import divide
 from coppercleat.batch._reading import JobReader
 from coppercleat.batch._rows import (
-    INPUT_OBJECT_ITEMS,
+    ITEMS_PER_INPUT_OBJECT,
+    IdempotencyKeyRow,
     JobRow,
-    KeyRow,
-    input_object,
+    idempotency_row_key,
+    input_object_name,
     job_key,
     open_key,
-    submitter_key,
 )
 from coppercleat.errors import (
     ConflictError,
@@ -39,14 +39,19 @@
     decode_row,
 )
 
-_ATTEMPTS = 4
-"""Transactions whose answers may be lost before a submitter is told so."""
+_MAX_TRANSACTION_ATTEMPTS = 4
 
 _log = part_logger("batch")
 
 
 class Submission(msgspec.Struct, frozen=True, kw_only=True):
-    """What a submitter asks; ``due_at`` is Unix seconds, 0 for none."""
+    """A request to run a job.
+
+    Attributes:
+      job_key: Idempotency key of the submission, empty for none.
+      due_at: Unix time in seconds, 0 for none.
+      max_tokens: Token limit of each item without its own, 0 for the deployment's.
+    """
 
     tenant: TenantId
     deployment: DeploymentId
@@ -55,8 +60,8 @@
     max_tokens: int
 
 
-class Submitted(msgspec.Struct, frozen=True):
-    """An accepted job, and whether it had been accepted before."""
+class SubmissionResult(msgspec.Struct, frozen=True):
+    """An accepted job, and whether an earlier submission had created it."""
 
     row: JobRow
     resent: bool
@@ -64,7 +69,7 @@
 
 @attrs.define
 class _StoredInput:
-    """How much of a submission's input has been stored."""
+    """Number of items and objects stored for a submission, and their hash."""
 
     items: int = 0
     parts: int = 0
@@ -72,7 +77,7 @@
 
 
 class JobAcceptance:
-    """Accepts each job once."""
+    """Accepts jobs, and each idempotency key only once."""
 
     def __init__(
         self,
@@ -82,13 +87,13 @@
         clock: Callable[[], float],
         rng: random.Random,
     ) -> None:
-        """Prepares the acceptance.
+        """Initializes the acceptance.
 
         Args:
-          platform: Where rows and objects are.
-          reader: Finds jobs accepted before.
-          clock: Gives Unix time in seconds.
-          rng: Source of ids.
+          platform: Storage of rows and objects.
+          reader: Reads jobs accepted earlier.
+          clock: Returns Unix time in seconds.
+          rng: Source of job ids.
         """
         self.platform = platform
         self._reader = reader
@@ -100,25 +105,25 @@
         submission: Submission,
         items: AsyncIterator[list[Item]],
         *,
-        runners: int,
+        upstream_count: int,
         max_items: int,
         chunk_items: int,
         segment_chunks: int,
-    ) -> Submitted:
-        """Accepts a job durably, or refuses it whole.
+    ) -> SubmissionResult:
+        """Stores a job durably, or rejects all of it.
 
         Args:
-          submission: What is asked.
-          items: The items, in lists of any length.
-          runners: Upstreams that can run them.
-          max_items: Items in a job at most.
-          chunk_items: Items in a chunk at most.
-          segment_chunks: Chunks in a segment at most.
+          submission: The submitted job.
+          items: The job's items, in lists of any length.
+          upstream_count: Number of upstreams that can run the items.
+          max_items: Maximum number of items in a job.
+          chunk_items: Maximum number of items in a chunk.
+          segment_chunks: Maximum number of chunks in a segment.
 
         Raises:
-          InvalidRequestError: There are no items, too many, or wrong lines.
-          ConflictError: The key belongs to a job with other content.
-          AnswerLostError: The platform never said; send the same job again.
+          InvalidRequestError: There are no items, too many, or invalid lines.
+          ConflictError: The key belongs to a job with different content.
+          AnswerLostError: The outcome is unknown; submit the same job again.
         """
         job = JobId(random_token(self._rng))
         stored = _StoredInput()
@@ -126,7 +131,7 @@
             await self._store_input(job, submission, items, max_items, stored)
             division = divide(
                 stored.items,
-                runners=runners,
+                upstream_count=upstream_count,
                 chunk_items=chunk_items,
                 segment_chunks=segment_chunks,
             )
@@ -157,9 +162,9 @@
         max_items: int,
         stored: _StoredInput,
     ) -> None:
-        """Stores the input in parts, and counts and hashes it."""
-        asked = [submission.deployment, submission.due_at, submission.max_tokens]
-        stored.digest.update(msgspec.json.encode(asked))
+        """Stores the input as objects, and counts and hashes its items."""
+        parameters = [submission.deployment, submission.due_at, submission.max_tokens]
+        stored.digest.update(msgspec.json.encode(parameters))
         buffer: list[Item] = []
         async for more in items:
             buffer += more
@@ -169,9 +174,9 @@
                     f"The job has more than {max_items} items",
                     remedy="Divide it into several jobs.",
                 )
-            while len(buffer) >= INPUT_OBJECT_ITEMS:
-                await self._put_input(job, buffer[:INPUT_OBJECT_ITEMS], stored)
-                buffer = buffer[INPUT_OBJECT_ITEMS:]
+            while len(buffer) >= ITEMS_PER_INPUT_OBJECT:
+                await self._put_input(job, buffer[:ITEMS_PER_INPUT_OBJECT], stored)
+                buffer = buffer[ITEMS_PER_INPUT_OBJECT:]
         if buffer:
             await self._put_input(job, buffer, stored)
         if not stored.items:
@@ -185,18 +190,22 @@
         body = msgspec.json.encode(items)
         stored.digest.update(body)
         stored.parts += 1
-        await self.platform.put_object(input_object(job, stored.parts - 1), body)
+        await self.platform.put_object(input_object_name(job, stored.parts - 1), body)
 
     async def _discard_input(self, job: JobId, parts: int) -> None:
-        """Removes input that belongs to no job; what fails is collected later."""
+        """Deletes the input of a job that was not created, if possible."""
         try:
             for part in range(parts):
-                await self.platform.delete_object(input_object(job, part))
+                await self.platform.delete_object(input_object_name(job, part))
         except (PlatformUnavailableError, AnswerLostError) as error:
-            _log.info("Input of no job stays.", job=job, reason=str(error))
+            _log.info(
+                "Orphaned input objects could not be deleted.",
+                job=job,
+                reason=str(error),
+            )
 
-    async def _accept(self, row: JobRow) -> Submitted:
-        key = submitter_key(row.tenant, row.job_key)
+    async def _accept(self, row: JobRow) -> SubmissionResult:
+        key = idempotency_row_key(row.tenant, row.job_key)
         puts = [
             Put(job_key(row.job), msgspec.json.encode(row)),
             Put(open_key(row.job), b"{}"),
@@ -205,14 +214,17 @@
         if row.job_key:
             checks.append(Check(key, ABSENT))
             puts.append(
-                Put(key, msgspec.json.encode(KeyRow(row.job, row.content_hash)))
+                Put(
+                    key,
+                    msgspec.json.encode(IdempotencyKeyRow(row.job, row.content_hash)),
+                )
             )
         else:
             checks.append(Check(job_key(row.job), ABSENT))
-        for _ in range(_ATTEMPTS):
-            earlier = await self._find_earlier(row, key)
-            if earlier is not None:
-                return earlier
+        for _ in range(_MAX_TRANSACTION_ATTEMPTS):
+            existing = await self._find_existing(row, key)
+            if existing is not None:
+                return existing
             try:
                 result = await self.platform.transact(
                     Transaction(checks=checks, puts=puts)
@@ -220,24 +232,28 @@
             except AnswerLostError:
                 continue
             if not isinstance(result, TransactionRefused):
-                return Submitted(row, resent=False)
+                return SubmissionResult(row, resent=False)
         raise AnswerLostError("The platform did not say whether the job was accepted")
 
-    async def _find_earlier(self, row: JobRow, key: str) -> Submitted | None:
-        """Finds the job that a key already means, or this very one."""
+    async def _find_existing(self, row: JobRow, key: str) -> SubmissionResult | None:
+        """Returns the job already stored for the key, or this one if it is stored.
+
+        Raises:
+          ConflictError: The key belongs to a job with different content.
+        """
         if not row.job_key:
             rows = await self.platform.read([job_key(row.job)])
-            return Submitted(row, resent=False) if rows else None
+            return SubmissionResult(row, resent=False) if rows else None
         found = (await self.platform.read([key])).get(key)
         if found is None:
             return None
-        known = decode_row(found, KeyRow)
+        known = decode_row(found, IdempotencyKeyRow)
         if known.job == row.job:
-            return Submitted(row, resent=False)
+            return SubmissionResult(row, resent=False)
         if known.content_hash != row.content_hash:
             raise ConflictError(
                 f"The key {row.job_key} belongs to job {known.job} with other content",
                 remedy="Use a new key, or send the same content.",
             )
-        earlier, _ = await self._reader.get(known.job)
-        return Submitted(earlier, resent=True)
+        existing, _ = await self._reader.get(known.job)
+        return SubmissionResult(existing, resent=True)
--- a/src/coppercleat/batch/_challenges.py
+++ b/src/coppercleat/batch/_challenges.py
@@ -1,9 +1,8 @@
-"""Asks silent holders for a sign of life before their work is taken over.
+"""Liveness challenges to segment holders before a takeover.
 
-A holder renews nothing while all is well. Only when peers no longer hear it
-is a challenge row written; a holder that lives and reaches the platform
-removes it at its next poll. One that does not answer within the bound loses
-its segments. Writes therefore grow with failures, not with the fleet.
+Holders renew no lease. Once peers receive no heartbeats of a holder, one of them
+writes a challenge row, which a live holder deletes at its next poll. A holder that
+does not respond in time loses its segments.
 """
 
 from __future__ import annotations
@@ -12,73 +11,80 @@
 
 from coppercleat.ids import InstanceId
 
-_FIRST_PAUSE_S = 2.0
-_LONGEST_PAUSE_S = 60.0
+_INITIAL_RETRY_DELAY_S = 2.0
+_MAX_RETRY_DELAY_S = 60.0
 
 
 @attrs.define
-class _Asked:
-    """What is known of one holder's challenge row."""
+class _HolderChallenge:
+    """State of the challenges to one holder.
+
+    Attributes:
+      version: Storage version of the pending challenge row, 0 for none.
+      first_seen_at: When that version was first read.
+      retry_delay_s: Delay of the next challenge after a response.
+      retry_not_before: Time before which the holder is not challenged again.
+    """
 
     version: int = 0
-    since: float = 0.0
-    pause_s: float = _FIRST_PAUSE_S
-    not_before: float = float("-inf")
+    first_seen_at: float = 0.0
+    retry_delay_s: float = _INITIAL_RETRY_DELAY_S
+    retry_not_before: float = float("-inf")
 
 
-class Challenges:
-    """Challenges as one instance sees them; the clock is passed in.
+class ChallengeTracker:
+    """Tracks pending challenges and how long they have had no response.
 
     Attributes:
-      wait_s: How long a holder has for its answer, in seconds.
+      response_timeout_s: Seconds after which a missing response permits a takeover.
     """
 
-    def __init__(self, *, wait_s: float) -> None:
-        self.wait_s = wait_s
-        self._asked: dict[InstanceId, _Asked] = {}
+    def __init__(self, *, response_timeout_s: float) -> None:
+        self.response_timeout_s = response_timeout_s
+        self._challenges_by_holder: dict[InstanceId, _HolderChallenge] = {}
 
-    def may_ask(self, holder: InstanceId, now: float) -> bool:
-        """Returns whether to challenge a holder that has no challenge open.
+    def may_challenge(self, holder: InstanceId, now: float) -> bool:
+        """Returns whether to challenge a holder that has no pending challenge.
 
-        A holder that answers although no peer hears it is cut off from some
-        of them; asking it again is put off for longer each time.
+        A holder that responds without being heard is partitioned from its peers; it
+        is challenged again after an exponential delay.
         """
-        asked = self._asked.get(holder)
-        return asked is None or now >= asked.not_before
+        challenge = self._challenges_by_holder.get(holder)
+        return challenge is None or now >= challenge.retry_not_before
 
     def observe(self, holder: InstanceId, version: int, now: float) -> bool:
-        """Takes the version of a holder's challenge row, 0 for none.
+        """Updates the state of a holder's challenge.
 
         Args:
-          holder: Who was asked.
-          version: The row's version, as just read.
-          now: Seconds on this instance's clock.
+          holder: The challenged instance.
+          version: Storage version of its challenge row as just read, 0 for none.
+          now: Monotonic time in seconds.
 
         Returns:
-          Whether the same challenge has stood unanswered for long enough.
+          Whether the holder has not responded within ``response_timeout_s``.
         """
-        asked = self._asked.setdefault(holder, _Asked())
+        challenge = self._challenges_by_holder.setdefault(holder, _HolderChallenge())
         if not version:
-            if asked.version:
-                self._put_off(asked, now)
-            asked.version = 0
+            if challenge.version:
+                self._delay_retry(challenge, now)
+            challenge.version = 0
             return False
-        if asked.version != version:
-            asked.version = version
-            asked.since = now
+        if challenge.version != version:
+            challenge.version = version
+            challenge.first_seen_at = now
             return False
-        return now - asked.since >= self.wait_s
+        return now - challenge.first_seen_at >= self.response_timeout_s
 
-    def interrupted(self) -> None:
-        """Notes that the platform was away: nobody could have answered."""
-        for asked in self._asked.values():
-            asked.version = 0
+    def record_outage(self) -> None:
+        """Restarts all timeouts, since no holder could respond during the outage."""
+        for challenge in self._challenges_by_holder.values():
+            challenge.version = 0
 
-    def heard(self, holder: InstanceId) -> None:
-        """Notes that peers hear a holder again."""
-        self._asked.pop(holder, None)
+    def record_alive(self, holder: InstanceId) -> None:
+        """Discards the state of a holder whose heartbeats are received again."""
+        self._challenges_by_holder.pop(holder, None)
 
     @staticmethod
-    def _put_off(asked: _Asked, now: float) -> None:
-        asked.not_before = now + asked.pause_s
-        asked.pause_s = min(_LONGEST_PAUSE_S, 2 * asked.pause_s)
+    def _delay_retry(challenge: _HolderChallenge, now: float) -> None:
+        challenge.retry_not_before = now + challenge.retry_delay_s
+        challenge.retry_delay_s = min(_MAX_RETRY_DELAY_S, 2 * challenge.retry_delay_s)
--- a/src/coppercleat/batch/_committing.py
+++ b/src/coppercleat/batch/_committer.py
@@ -1,4 +1,4 @@
-"""Commits complete chunks, and stops work on segments that are lost."""
+"""Commits complete chunks, and stops work on segments no longer held."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 import trio
 
-from coppercleat.batch._segments import Commit
+from coppercleat.batch._segment_work import SegmentWork
+from coppercleat.batch._segments import CommitOutcome
 from coppercleat.batch._state import BatchState
-from coppercleat.batch._work import SegmentWork
 from coppercleat.errors import PlatformUnavailableError
 from coppercleat.observability import part_logger
 from coppercleat.storage import AnswerLostError
@@ -20,24 +20,24 @@
 _log = part_logger("batch")
 
 
-class Committing:
-    """Brings results to the platform, however long it is away."""
+class ChunkCommitter:
+    """Commits chunk results to platform storage."""
 
     def __init__(
         self, state: BatchState, *, stop: Callable[[SegmentWork], None]
     ) -> None:
-        """Prepares the committing.
+        """Initializes the committer.
 
         Args:
-          state: What the parts of the batch path share.
-          stop: Cancels the items of a segment that run.
+          state: Shared batch state of this instance.
+          stop: Cancels the running items of a segment.
         """
         self.state = state
         self._stop = stop
 
     async def commit(self, segment: SegmentWork, chunk: int) -> None:
-        """Commits a chunk, however long the platform is away."""
-        pause = _COMMIT_RETRY_S
+        """Commits a chunk, retrying with backoff while the segment is held."""
+        retry_delay_s = _COMMIT_RETRY_S
         try:
             while not segment.lost:
                 try:
@@ -46,36 +46,36 @@
                             segment.held, chunk, segment.results(chunk)
                         )
                 except (PlatformUnavailableError, AnswerLostError) as error:
-                    _log.warning("Commit put off.", why=error.message)
-                    await trio.sleep(pause * self.state.rng.uniform(0.5, 1.0))
-                    pause = min(_COMMIT_RETRY_MAX_S, 2 * pause)
+                    _log.warning("Commit failed; retrying.", why=error.message)
+                    await trio.sleep(retry_delay_s * self.state.rng.uniform(0.5, 1.0))
+                    retry_delay_s = min(_COMMIT_RETRY_MAX_S, 2 * retry_delay_s)
                     continue
                 self.state.metrics.commits.inc({"outcome": outcome.name.lower()})
-                if outcome is Commit.DONE:
-                    segment.committed(chunk)
+                if outcome is CommitOutcome.DONE:
+                    segment.remove_committed(chunk)
                 else:
-                    self.lose(segment, outcome.value)
+                    self.stop_work(segment, outcome.value)
                 break
         finally:
-            self.state.held_results -= 1
+            self.state.uncommitted_chunks -= 1
         if segment.finished:
             await self._finish_segment(segment)
 
     async def _finish_segment(self, segment: SegmentWork) -> None:
-        self.state.drop(segment)
-        self.state.look.set()
+        self.state.remove_segment(segment)
+        self.state.poll_requested.set()
         job = segment.held.job.job
         with contextlib.suppress(PlatformUnavailableError, AnswerLostError):
-            if await self.state.store.ending.complete_if_done(job):
+            if await self.state.store.finisher.complete_if_done(job):
                 _log.info("Job ended.", job=job)
 
-    def lose(self, segment: SegmentWork, why: str) -> None:
-        """Stops all work on a segment that is no longer this instance's."""
+    def stop_work(self, segment: SegmentWork, why: str) -> None:
+        """Stops all work on a segment that is lost or to be released."""
         segment.lost = True
-        self.state.drop(segment)
+        self.state.remove_segment(segment)
         self._stop(segment)
         _log.info(
-            "Segment given up.",
+            "Stopped work on a segment.",
             job=segment.held.job.job,
             segment=segment.held.segment,
             why=why,
--- a/src/coppercleat/batch/_feed.py
+++ b/src/coppercleat/batch/_feed.py
@@ -1,8 +1,7 @@
-"""Policies that decide how many batch items run on a runner at once.
+"""Policies that limit the batch items running on an upstream at once.
 
-Engines admit requests as they come, so whoever feeds batch to a runner sets
-the online tail. One instance feeds each runner; it knows its own online
-requests there at once and its peers' within milliseconds.
+Engines admit requests without priorities, so the number of batch items determines
+the tail latency of online requests.
 """
 
 from __future__ import annotations
@@ -14,21 +13,21 @@
 
 from coppercleat.routing import ONLINE_ACTIVITY_WINDOW_S
 
-_FIRST_LIMIT = 8
-_GROWTH_S = 0.05
-_MAX_STEPS = 16
-_HOLD_S = 0.1
-_STATIC_SHARE = 4
-_LIGHT_SHARE = 8
+_INITIAL_LIMIT = 8
+_DOUBLING_INTERVAL_S = 0.05
+_MAX_DOUBLINGS = 16
+_ONLINE_COOLDOWN_S = 0.1
+_STATIC_DIVISOR = 4
+_REDUCED_DIVISOR = 8
 
 
-class RunnerView(msgspec.Struct, frozen=True, kw_only=True):
-    """What a policy sees of a runner.
+class UpstreamUsage(msgspec.Struct, frozen=True, kw_only=True):
+    """Requests and items in flight on an upstream.
 
     Attributes:
-      online: Online requests in flight there, of all instances.
-      batch: Batch items running there.
-      max_concurrency: Items at once at most.
+      online: Online requests in flight, of all instances.
+      batch: Batch items running.
+      max_concurrency: Maximum number of batch items at once.
     """
 
     online: int
@@ -36,80 +35,90 @@
     max_concurrency: int
 
 
-class FeedPolicy(Protocol):
-    """Decides for one runner; the clock is passed in."""
+class DispatchPolicy(Protocol):
+    """Limits batch items on one upstream."""
 
-    def limit(self, view: RunnerView, now: float) -> int:
-        """Returns how many batch items may run now."""
+    def limit(self, usage: UpstreamUsage, now: float) -> int:
+        """Returns how many batch items may run.
+
+        Args:
+          usage: Current usage of the upstream.
+          now: Monotonic time in seconds.
+        """
         ...
 
 
-FEED_POLICIES: dict[str, Callable[[], FeedPolicy]] = {}
+DISPATCH_POLICIES: dict[str, Callable[[], DispatchPolicy]] = {}
 
-_P = TypeVar("_P", bound=Callable[[], FeedPolicy])
+_P = TypeVar("_P", bound=Callable[[], DispatchPolicy])
 
 
-def feed_policy(name: str) -> Callable[[_P], _P]:
-    """Registers a policy under its name in the settings."""
+def dispatch_policy(name: str) -> Callable[[_P], _P]:
+    """Returns a decorator that registers a policy under its settings name."""
 
     def register(policy: _P) -> _P:
-        FEED_POLICIES[name] = policy
+        DISPATCH_POLICIES[name] = policy
         return policy
 
     return register
 
 
-@feed_policy("none")
-class NoPolicy:
-    """Feeds as much as the runner may take, whatever happens online."""
+@dispatch_policy("none")
+class UnlimitedPolicy:
+    """Allows the maximum, regardless of online requests."""
 
-    def limit(self, view: RunnerView, now: float) -> int:
-        """See ``FeedPolicy.limit``."""
-        return view.max_concurrency
+    def limit(self, usage: UpstreamUsage, now: float) -> int:
+        """See ``DispatchPolicy.limit``."""
+        return usage.max_concurrency
 
 
-@feed_policy("static")
-class StaticShare:
-    """Feeds a fixed quarter, whatever happens online."""
+@dispatch_policy("static")
+class StaticSharePolicy:
+    """Allows a fixed fraction of the maximum, regardless of online requests."""
 
-    def limit(self, view: RunnerView, now: float) -> int:
-        """See ``FeedPolicy.limit``."""
-        return max(1, view.max_concurrency // _STATIC_SHARE)
+    def limit(self, usage: UpstreamUsage, now: float) -> int:
+        """See ``DispatchPolicy.limit``."""
+        return max(1, usage.max_concurrency // _STATIC_DIVISOR)
 
 
-@feed_policy("yield")
+@dispatch_policy("yield")
 class YieldToOnline:
-    """Lets go at once when an online request arrives; grows back in steps.
+    """Allows no batch items during online requests, then increases exponentially.
+
+    The limit is zero while online requests are in flight and for a cooldown after
+    the last, then doubles at a fixed interval from an initial value.
 
-    The limit falls to nothing while online requests are in flight and for a
-    short hold after the last, then doubles from a small start.
+    Attributes:
+      reduced_s: Seconds after the cooldown for which the limit stays reduced.
     """
 
-    light_s = 0.0
+    reduced_s = 0.0
 
     def __init__(self) -> None:
-        self._online_at = float("-inf")
+        self._last_online_at = float("-inf")
 
-    def limit(self, view: RunnerView, now: float) -> int:
-        """See ``FeedPolicy.limit``."""
-        if view.online:
-            self._online_at = now
+    def limit(self, usage: UpstreamUsage, now: float) -> int:
+        """See ``DispatchPolicy.limit``."""
+        if usage.online:
+            self._last_online_at = now
             return 0
-        quiet = now - self._online_at - _HOLD_S
-        if quiet < 0:
+        idle_s = now - self._last_online_at - _ONLINE_COOLDOWN_S
+        if idle_s < 0:
             return 0
-        if quiet < self.light_s:
-            return max(1, view.max_concurrency // _LIGHT_SHARE)
-        steps = min(_MAX_STEPS, (quiet - self.light_s) / _GROWTH_S)
-        return min(view.max_concurrency, _FIRST_LIMIT << int(steps))
+        if idle_s < self.reduced_s:
+            return max(1, usage.max_concurrency // _REDUCED_DIVISOR)
+        doublings = min(
+            _MAX_DOUBLINGS, (idle_s - self.reduced_s) / _DOUBLING_INTERVAL_S
+        )
+        return min(usage.max_concurrency, _INITIAL_LIMIT << int(doublings))
 
 
-@feed_policy("reserve")
+@dispatch_policy("reserve")
 class ReserveForOnline(YieldToOnline):
-    """Yields, and stays light for a while on a runner that had online requests.
+    """Like ``YieldToOnline``, with a reduced limit after recent online requests.
 
-    The next online requests go there (see routing), and a step of few sequences
-    is soon over. Costs batch speed for a shorter online tail.
+    Routing prefers these upstreams for further online requests, which wait less
+    behind a small batch. Trades batch throughput for online tail latency.
     """
 
-    light_s = ONLINE_ACTIVITY_WINDOW_S
+    reduced_s = ONLINE_ACTIVITY_WINDOW_S
--- a/src/coppercleat/batch/_feeding.py
+++ b/src/coppercleat/batch/_feeding.py
@@ -1,4 +1,4 @@
-"""Feeds the items of held segments to the runners that fall to this instance."""
+"""Dispatches items of held segments to the upstreams assigned to this instance."""
 
 from __future__ import annotations
 
@@ -8,10 +8,14 @@
 import attrs
 import trio
 
-from coppercleat.batch._feed import FEED_POLICIES, FeedPolicy, RunnerView
+from coppercleat.batch._feed import (
+    DISPATCH_POLICIES,
+    DispatchPolicy,
+    UpstreamUsage,
+)
 from coppercleat.batch._items import ItemResult
+from coppercleat.batch._segment_work import ItemWork, SegmentWork
 from coppercleat.batch._state import BatchState
-from coppercleat.batch._work import ItemWork, SegmentWork
 from coppercleat.configuration import Deployment
 from coppercleat.errors import (
     Outcome,
@@ -23,171 +27,186 @@
 from coppercleat.routing import CircuitState, UpstreamRecord
 from coppercleat.upstreams import Attempt, EngineRequest
 
-_TICK_S = 0.05
-_IDLE_TICK_S = 0.5
-_UPSTREAM_PAUSE_S = 0.25
+_SCHEDULE_INTERVAL_S = 0.05
+_IDLE_SCHEDULE_INTERVAL_S = 0.5
+_UPSTREAM_RETRY_DELAY_S = 0.25
 
 
 @attrs.define(eq=False)
-class _Running:
-    """An item that runs on a runner."""
+class _RunningItem:
+    """An item running on an upstream."""
 
     work: ItemWork
     segment: SegmentWork
     scope: trio.CancelScope
-    yielded: bool = False
+    preempted: bool = False
 
 
 @attrs.define(eq=False)
-class _Feed:
-    """What this instance feeds to one runner.
+class _UpstreamDispatch:
+    """Items dispatched to one upstream.
 
     Attributes:
-      retired: Whether another instance feeds it now, or it is leaving; what
-        runs may end, and nothing new is begun.
+      record: Routing record of the upstream.
+      policy: Limits the items running at once.
+      running: Items running, the latest last.
+      retry_at: Time before which no item is started, on trio's clock.
+      retired: Whether the upstream is draining, unavailable or assigned to another
+        instance; running items may finish, but none is started.
     """
 
     record: UpstreamRecord
-    policy: FeedPolicy
-    running: list[_Running] = attrs.field(factory=list)
-    paused_until: float = 0.0
+    policy: DispatchPolicy
+    running: list[_RunningItem] = attrs.field(factory=list)
+    retry_at: float = 0.0
     retired: bool = False
 
 
-class Feeding:
-    """Starts items on runners, lets go of them, and gathers what they give."""
+class ItemDispatcher:
+    """Starts and preempts items on upstreams, and collects their results."""
 
     def __init__(
         self, state: BatchState, *, on_chunk: Callable[[SegmentWork, int], None]
     ) -> None:
-        """Prepares the feeding.
+        """Initializes the dispatcher.
 
         Args:
-          state: What the parts of the batch path share.
-          on_chunk: Told of each chunk whose results are complete.
+          state: Shared batch state of this instance.
+          on_chunk: Called with each segment and chunk whose results are complete.
         """
         self.state = state
         self._on_chunk = on_chunk
-        self._feeds: dict[UpstreamId, _Feed] = {}
+        self._upstreams: dict[UpstreamId, _UpstreamDispatch] = {}
         self._nursery: trio.Nursery | None = None
 
     async def run(self) -> None:
-        """Feeds until cancelled."""
+        """Dispatches items until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             nursery.start_soon(self._schedule_forever)
 
     def online_changed(self, upstream: UpstreamId) -> None:
-        """Lets go of a runner at once if online requests have come to it."""
-        feed = self._feeds.get(upstream)
-        if feed is not None:
-            self._let_go(feed, trio.current_time())
+        """Preempts items over the limit after a change of an upstream's online load."""
+        dispatch = self._upstreams.get(upstream)
+        if dispatch is not None:
+            self._preempt_excess(dispatch, trio.current_time())
 
     def limits(self) -> dict[UpstreamId, tuple[int, int]]:
-        """Returns items running and the limit, for each runner fed."""
+        """Returns the number of running items and their limit, by upstream."""
         now = trio.current_time()
         return {
-            upstream: (len(feed.running), self._limit(feed, now))
-            for upstream, feed in self._feeds.items()
+            upstream: (len(dispatch.running), self._limit(dispatch, now))
+            for upstream, dispatch in self._upstreams.items()
         }
 
-    def runners(self) -> int:
-        """Returns how many runners are fed from here."""
-        return sum(not feed.retired for feed in self._feeds.values())
+    def upstream_count(self) -> int:
+        """Returns the number of upstreams that this instance dispatches to."""
+        return sum(not dispatch.retired for dispatch in self._upstreams.values())
 
     def running_segments(self) -> set[SegmentWork]:
-        """Returns the segments of which any item runs."""
-        return {r.segment for feed in self._feeds.values() for r in feed.running}
+        """Returns the segments with running items."""
+        return {
+            r.segment for dispatch in self._upstreams.values() for r in dispatch.running
+        }
 
     def stop(self, segment: SegmentWork | None = None) -> None:
-        """Cancels the items of a segment; of all, if none is named."""
-        for feed in self._feeds.values():
-            for running in feed.running:
+        """Cancels the running items of a segment, or of all segments if None."""
+        for dispatch in self._upstreams.values():
+            for running in dispatch.running:
                 if segment is None or running.segment is segment:
-                    self._yield(running)
+                    self._preempt(running)
 
     async def _schedule_forever(self) -> None:
         while True:
             self.state.wake = trio.Event()
             self._schedule(trio.current_time())
-            active = self.state.held or any(f.running for f in self._feeds.values())
-            with trio.move_on_after(_TICK_S if active else _IDLE_TICK_S):
+            active = self.state.held or any(d.running for d in self._upstreams.values())
+            with trio.move_on_after(
+                _SCHEDULE_INTERVAL_S if active else _IDLE_SCHEDULE_INTERVAL_S
+            ):
                 await self.state.wake.wait()
 
     def _schedule(self, now: float) -> None:
-        self._refresh_feeds()
-        for feed in self._feeds.values():
-            self._let_go(feed, now)
-            if feed.retired or now < feed.paused_until or self.state.results_full:
+        self._refresh_upstreams()
+        for dispatch in self._upstreams.values():
+            self._preempt_excess(dispatch, now)
+            if (
+                dispatch.retired
+                or now < dispatch.retry_at
+                or self.state.at_uncommitted_limit
+            ):
                 continue
-            limit = self._limit(feed, now)
-            breaker = feed.record.breaker
+            limit = self._limit(dispatch, now)
+            breaker = dispatch.record.breaker
             if breaker.state is CircuitState.HALF_OPEN:
                 limit = min(limit, 1)
-            while len(feed.running) < limit and self._start_next(feed):
+            while len(dispatch.running) < limit and self._start_next(dispatch):
                 breaker.started()
 
-    def _refresh_feeds(self) -> None:
-        records = {record.upstream: record for record in self.state.fleet.fed()}
-        for upstream, feed in list(self._feeds.items()):
-            feed.retired = records.get(upstream) is not feed.record
-            if feed.retired and not feed.running:
-                del self._feeds[upstream]
+    def _refresh_upstreams(self) -> None:
+        records = {
+            record.upstream: record
+            for record in self.state.fleet.dispatched_upstreams()
+        }
+        for upstream, dispatch in list(self._upstreams.items()):
+            dispatch.retired = records.get(upstream) is not dispatch.record
+            if dispatch.retired and not dispatch.running:
+                del self._upstreams[upstream]
         for upstream, record in records.items():
-            if upstream not in self._feeds:
-                policy = FEED_POLICIES[self.state.settings.policy]()
-                self._feeds[upstream] = _Feed(record, policy)
+            if upstream not in self._upstreams:
+                policy = DISPATCH_POLICIES[self.state.settings.policy]()
+                self._upstreams[upstream] = _UpstreamDispatch(record, policy)
 
     def services(self) -> set[str]:
-        """Returns the services whose runners this instance feeds."""
+        """Returns the services whose upstreams this instance dispatches to."""
         return {
-            feed.record.node.service
-            for feed in self._feeds.values()
-            if not feed.retired
+            dispatch.record.node.service
+            for dispatch in self._upstreams.values()
+            if not dispatch.retired
         }
 
-    def _limit(self, feed: _Feed, now: float) -> int:
-        view = RunnerView(
-            online=self.state.fleet.online_total(feed.record.upstream),
-            batch=len(feed.running),
+    def _limit(self, dispatch: _UpstreamDispatch, now: float) -> int:
+        usage = UpstreamUsage(
+            online=self.state.fleet.online_total(dispatch.record.upstream),
+            batch=len(dispatch.running),
             max_concurrency=self.state.settings.max_concurrency,
         )
-        return feed.policy.limit(view, now)
+        return dispatch.policy.limit(usage, now)
 
-    def _let_go(self, feed: _Feed, now: float) -> None:
-        """Cancels the items that exceed the limit, the latest begun first."""
-        excess = len(feed.running) - self._limit(feed, now)
-        for running in reversed(feed.running):
+    def _preempt_excess(self, dispatch: _UpstreamDispatch, now: float) -> None:
+        """Cancels items over the limit, the latest started first."""
+        excess = len(dispatch.running) - self._limit(dispatch, now)
+        for running in reversed(dispatch.running):
             if excess <= 0:
                 return
-            if not running.yielded:
-                self._yield(running)
-                self.state.metrics.yields.inc({"upstream": feed.record.upstream})
+            if not running.preempted:
+                self._preempt(running)
+                self.state.metrics.yields.inc({"upstream": dispatch.record.upstream})
             excess -= 1
 
     @staticmethod
-    def _yield(running: _Running) -> None:
-        running.yielded = True
+    def _preempt(running: _RunningItem) -> None:
+        running.preempted = True
         running.scope.cancel()
 
-    def _start_next(self, feed: _Feed) -> bool:
+    def _start_next(self, dispatch: _UpstreamDispatch) -> bool:
         for segment in self.state.held:
             deployment = self.state.deployment_of(segment)
-            if deployment is None or deployment.service != feed.record.node.service:
+            if deployment is None or deployment.service != dispatch.record.node.service:
                 continue
-            work = segment.take()
+            work = segment.next_item()
             if work is None:
                 continue
-            running = _Running(work, segment, trio.CancelScope())
-            feed.running.append(running)
-            feed.record.batch += 1
+            running = _RunningItem(work, segment, trio.CancelScope())
+            dispatch.running.append(running)
+            dispatch.record.batch += 1
             assert self._nursery is not None
-            self._nursery.start_soon(self._run_item, feed, running, deployment)
+            self._nursery.start_soon(self._run_item, dispatch, running, deployment)
             return True
         return False
 
     async def _run_item(
-        self, feed: _Feed, running: _Running, deployment: Deployment
+        self, dispatch: _UpstreamDispatch, running: _RunningItem, deployment: Deployment
     ) -> None:
         work, segment = running.work, running.segment
         result: ItemResult | None = None
@@ -196,80 +215,82 @@
                 running.scope,
                 trio.move_on_after(self.state.settings.item_timeout_s) as limit,
             ):
-                result = await self._execute(feed, work, segment, deployment)
-            if limit.cancelled_caught and not running.yielded:
-                why = f"no answer within {self.state.settings.item_timeout_s} s"
-                self._lost(feed, work, ("timeout", why))
+                result = await self._execute(dispatch, work, segment, deployment)
+            if limit.cancelled_caught and not running.preempted:
+                message = f"no answer within {self.state.settings.item_timeout_s} s"
+                self._handle_lost_attempt(dispatch, work, ("timeout", message))
         finally:
-            feed.running.remove(running)
-            feed.record.batch -= 1
+            dispatch.running.remove(running)
+            dispatch.record.batch -= 1
             self.state.wake.set()
-        if result is None and work.given_up(self.state.settings.max_attempts):
-            result = _gave_up(work)
+        if result is None and work.has_failed(self.state.settings.max_attempts):
+            result = _failed_result(work)
         if result is None:
-            segment.put_back(work)
+            segment.requeue(work)
             return
         self._finish(segment, work, result)
 
-    def _lost(self, feed: _Feed, work: ItemWork, error: tuple[str, str]) -> None:
-        """Notes an attempt without an answer, and lets the upstream rest."""
+    def _handle_lost_attempt(
+        self, dispatch: _UpstreamDispatch, work: ItemWork, error: tuple[str, str]
+    ) -> None:
+        """Records an attempt without a response, and delays the next one."""
         now = trio.current_time()
-        work.lost(feed.record.breaker, error)
-        feed.record.breaker.failed(now)
-        feed.paused_until = now + _UPSTREAM_PAUSE_S
+        work.record_lost_attempt(dispatch.record.breaker, error)
+        dispatch.record.breaker.failed(now)
+        dispatch.retry_at = now + _UPSTREAM_RETRY_DELAY_S
 
     async def _execute(
         self,
-        feed: _Feed,
+        dispatch: _UpstreamDispatch,
         work: ItemWork,
         segment: SegmentWork,
         deployment: Deployment,
     ) -> ItemResult | None:
-        """Runs an item; None means that it must run again."""
+        """Runs one attempt of an item; returns None if the item must run again."""
         job = segment.held.job
         tokens = work.item.max_tokens or job.max_tokens or deployment.default_max_tokens
-        if len(work.made) >= tokens:
-            return _answered(work)
+        if len(work.generated) >= tokens:
+            return _successful_result(work)
         work.attempts += 1
         request = EngineRequest(
             request_id=f"{job.job}-{work.index}.{work.attempts}",
             model=self.state.pick_version(deployment),
             prompt=work.item.prompt,
             max_tokens=tokens,
-            resume_tokens=len(work.made),
+            resume_tokens=len(work.generated),
         )
         attempt = Attempt()
-        client = self.state.fleet.batch_client(feed.record.upstream)
+        client = self.state.fleet.batch_client(dispatch.record.upstream)
         try:
-            answer = client.generate(request, attempt)
-            async with contextlib.aclosing(answer) as parts:
+            stream = client.generate(request, attempt)
+            async with contextlib.aclosing(stream) as parts:
                 async for texts in parts:
-                    work.made += texts
+                    work.generated += texts
         except UpstreamFailedError as error:
             if error.outcome is Outcome.RUN:
-                work.refused((error.kind, error.message))
+                work.record_refusal((error.kind, error.message))
             else:
-                self._lost(feed, work, (error.kind, error.message))
+                self._handle_lost_attempt(dispatch, work, (error.kind, error.message))
             return None
         except UpstreamUnavailableError:
             work.attempts -= 1
-            feed.record.breaker.failed(trio.current_time())
+            dispatch.record.breaker.failed(trio.current_time())
             return None
         except UpstreamRefusedError:
             work.attempts -= 1
-            feed.paused_until = trio.current_time() + _UPSTREAM_PAUSE_S
+            dispatch.retry_at = trio.current_time() + _UPSTREAM_RETRY_DELAY_S
             return None
-        feed.record.breaker.succeeded()
-        return _answered(work)
+        dispatch.record.breaker.succeeded()
+        return _successful_result(work)
 
     def _finish(self, segment: SegmentWork, work: ItemWork, result: ItemResult) -> None:
         self.state.metrics.items.inc({"ended": "answered" if result.ok else "failed"})
-        chunk = segment.finish(work, result)
+        chunk = segment.record_result(work, result)
         if chunk is not None and not segment.lost:
             self._on_chunk(segment, chunk)
 
 
-def _gave_up(work: ItemWork) -> ItemResult:
+def _failed_result(work: ItemWork) -> ItemResult:
     kind, message = work.last_error
     return ItemResult(
         index=work.index,
@@ -281,10 +302,10 @@
     )
 
 
-def _answered(work: ItemWork) -> ItemResult:
+def _successful_result(work: ItemWork) -> ItemResult:
     return ItemResult(
         index=work.index,
         id=work.item.id,
-        text="".join(work.made),
+        text="".join(work.generated),
         attempts=work.attempts,
     )
--- a/src/coppercleat/batch/_segments.py
+++ b/src/coppercleat/batch/_segments.py
@@ -1,9 +1,8 @@
 """Claims segments and commits their chunks.
 
-Safety rests on one rule: whoever claims a segment writes its row, and a commit
-succeeds only if neither that row nor the job's has changed since. A holder
-that was paused, cut off or replaced can therefore commit nothing, whatever it
-believes.
+A claim writes the segment's row, and a commit requires that neither that row nor
+the job's has changed since (optimistic concurrency control). An instance that was
+paused, partitioned or replaced therefore cannot commit after a takeover.
 """
 
 from __future__ import annotations
@@ -18,15 +17,15 @@
 from coppercleat.batch._items import Item, ItemResult
 from coppercleat.batch._jobs import JobState
 from coppercleat.batch._rows import (
-    INPUT_OBJECT_ITEMS,
-    NOBODY,
+    ITEMS_PER_INPUT_OBJECT,
+    NO_HOLDER,
     ChallengeRow,
     JobRow,
     SegmentRow,
     challenge_key,
-    input_object,
+    input_object_name,
     job_key,
-    result_object,
+    result_object_name,
     segment_key,
 )
 from coppercleat.errors import NotFoundError, PlatformUnavailableError
@@ -44,8 +43,7 @@
     decode_row,
 )
 
-_ATTEMPTS = 4
-"""Transactions whose answers may be lost before a commit is given back."""
+_MAX_TRANSACTION_ATTEMPTS = 4
 
 _log = part_logger("batch")
 
@@ -55,9 +53,11 @@
     """A segment that this instance has claimed.
 
     Attributes:
+      job: The job's row as read before the claim.
+      job_version: Storage version of the job's row; a commit requires it unchanged.
+      segment: Index of the segment in the job.
       row: The segment's row as last written.
-      version: Its version; a commit requires it unchanged.
-      job_version: The version of the job's row, likewise.
+      version: Storage version of ``row``; a commit requires it unchanged.
     """
 
     job: JobRow
@@ -67,16 +67,16 @@
     version: int
 
 
-class Claimed(enum.Enum):
-    """Sentinels: why a segment was not claimed."""
+class ClaimRefusal(enum.Enum):
+    """Why a segment was not claimed."""
 
     TAKEN = "another instance claimed it first"
     DONE = "all its chunks are done"
     JOB_ENDED = "the job has ended"
 
 
-class Commit(enum.Enum):
-    """How the commit of a chunk ended."""
+class CommitOutcome(enum.Enum):
+    """Outcome of committing a chunk."""
 
     DONE = "the chunk's results are readable"
     TAKEN_OVER = "another instance holds the segment"
@@ -84,14 +84,14 @@
 
 
 class SegmentStore:
-    """Claims, commits and gives up segments."""
+    """Claims, commits and releases segments."""
 
     def __init__(self, platform: Platform, *, rng: random.Random) -> None:
-        """Prepares the store.
+        """Initializes the store.
 
         Args:
-          platform: Where rows and objects are.
-          rng: Source of names of result objects.
+          platform: Storage of rows and objects.
+          rng: Source of the random tokens in names of result objects.
         """
         self.platform = platform
         self._rng = rng
@@ -106,22 +106,26 @@
         incarnation: int,
         known: tuple[SegmentRow, int] | None,
         challenge: Check | None = None,
-    ) -> HeldSegment | Claimed:
-        """Claims a segment, or takes it over from another holder.
+    ) -> HeldSegment | ClaimRefusal:
+        """Claims a free segment, or takes it over from another holder.
 
         Args:
           job: The job.
-          job_version: Version of the job's row.
-          segment: Which segment.
-          instance: Who claims.
-          incarnation: Which start of that instance.
-          known: The segment's row and version as read; None for none.
-          challenge: A further condition: the holder did not answer.
+          job_version: Storage version of the job's row.
+          segment: Index of the segment.
+          instance: The claiming instance.
+          incarnation: Incarnation of that instance.
+          known: The segment's row and version as read; None if it has no row.
+          challenge: Further condition of the claim: the previous holder's
+            challenge row is unchanged.
+
+        Returns:
+          The claimed segment, or why it was not claimed.
         """
         if job.state is not JobState.OPEN:
-            return Claimed.JOB_ENDED
+            return ClaimRefusal.JOB_ENDED
         if known is not None and known[0].done:
-            return Claimed.DONE
+            return ClaimRefusal.DONE
         chunks = job.division.chunks(segment)
         results = known[0].results if known else ("",) * chunks
         row = SegmentRow(holder=instance, incarnation=incarnation, results=results)
@@ -137,10 +141,10 @@
                 Transaction(checks=checks, puts=[Put(key, msgspec.json.encode(row))])
             )
         except AnswerLostError:
-            return await self._settle_claim(job, job_version, segment, row, known)
+            return await self._verify_claim(job, job_version, segment, row, known)
         if isinstance(result, TransactionRefused):
             ended = job_key(job.job) in result.reason
-            return Claimed.JOB_ENDED if ended else Claimed.TAKEN
+            return ClaimRefusal.JOB_ENDED if ended else ClaimRefusal.TAKEN
         return HeldSegment(
             job=job,
             job_version=job_version,
@@ -149,21 +153,21 @@
             version=result[key],
         )
 
-    async def _settle_claim(
+    async def _verify_claim(
         self,
         job: JobRow,
         job_version: int,
         segment: int,
         row: SegmentRow,
         known: tuple[SegmentRow, int] | None,
-    ) -> HeldSegment | Claimed:
-        """Reads a claim back whose answer was lost."""
+    ) -> HeldSegment | ClaimRefusal:
+        """Reads the row back to learn whether a claim without a response succeeded."""
         key = segment_key(job.job, segment)
         found = (await self.platform.read([key])).get(key)
         if found is None or decode_row(found, SegmentRow) != row:
-            return Claimed.TAKEN
+            return ClaimRefusal.TAKEN
         if known is not None and found.version == known[1]:
-            return Claimed.TAKEN
+            return ClaimRefusal.TAKEN
         return HeldSegment(
             job=job,
             job_version=job_version,
@@ -173,40 +177,48 @@
         )
 
     async def read_items(self, held: HeldSegment) -> list[Item]:
-        """Returns the items of a held segment, in order."""
+        """Returns the items of a held segment, in order.
+
+        Raises:
+          NotFoundError: An input object does not exist.
+        """
         indices = held.job.division.segment_range(held.segment)
-        first = indices.start // INPUT_OBJECT_ITEMS
-        last = (indices.stop - 1) // INPUT_OBJECT_ITEMS
+        first = indices.start // ITEMS_PER_INPUT_OBJECT
+        last = (indices.stop - 1) // ITEMS_PER_INPUT_OBJECT
         items: list[Item] = []
         for part in range(first, last + 1):
-            name = input_object(held.job.job, part)
+            name = input_object_name(held.job.job, part)
             body = await self.platform.get_object(name)
             if body is None:
-                raise NotFoundError(f"The input {name} is gone")
+                raise NotFoundError(f"The input object {name} does not exist")
             items += msgspec.json.decode(body, type=list[Item])
-        offset = first * INPUT_OBJECT_ITEMS
+        offset = first * ITEMS_PER_INPUT_OBJECT
         return items[indices.start - offset : indices.stop - offset]
 
     async def commit(
         self, held: HeldSegment, chunk: int, results: Sequence[ItemResult]
-    ) -> Commit:
+    ) -> CommitOutcome:
         """Makes a chunk's results readable, if the segment is still held.
 
-        The held segment is brought up to date. A failure leaves it as it was,
-        so that the same call may be made again.
+        On success ``held`` is updated. On an error it is unchanged, and the call
+        may be repeated.
 
         Raises:
           PlatformUnavailableError: Nothing was committed.
-          AnswerLostError: The platform never said; call again.
+          AnswerLostError: The outcome is unknown.
         """
-        name = result_object(held.job.job, held.segment, chunk, random_token(self._rng))
+        name = result_object_name(
+            held.job.job, held.segment, chunk, random_token(self._rng)
+        )
         await self.platform.put_object(name, msgspec.json.encode(results))
-        outcome = await self._point_at(held, chunk, name)
-        if outcome is not Commit.DONE:
-            await self._drop_object(name)
+        outcome = await self._write_result_pointer(held, chunk, name)
+        if outcome is not CommitOutcome.DONE:
+            await self._delete_orphan(name)
         return outcome
 
-    async def _point_at(self, held: HeldSegment, chunk: int, name: str) -> Commit:
+    async def _write_result_pointer(
+        self, held: HeldSegment, chunk: int, name: str
+    ) -> CommitOutcome:
         results = list(held.row.results)
         results[chunk] = name
         row = msgspec.structs.replace(held.row, results=tuple(results))
@@ -218,27 +230,30 @@
             ],
             puts=[Put(key, msgspec.json.encode(row))],
         )
-        for _ in range(_ATTEMPTS):
+        for _ in range(_MAX_TRANSACTION_ATTEMPTS):
             try:
                 result = await self.platform.transact(transaction)
             except AnswerLostError:
                 result = None
             if isinstance(result, dict):
                 held.row, held.version = row, result[key]
-                return Commit.DONE
-            settled = await self._settle_commit(held, row, chunk)
-            if settled is not None:
-                return settled
-        raise AnswerLostError("The platform did not say whether it took the chunk")
+                return CommitOutcome.DONE
+            verified = await self._verify_commit(held, row, chunk)
+            if verified is not None:
+                return verified
+        raise AnswerLostError("The outcome of the chunk's commit is unknown")
 
-    async def _settle_commit(
+    async def _verify_commit(
         self, held: HeldSegment, row: SegmentRow, chunk: int
-    ) -> Commit | None:
-        """Reads rows back; None means that the commit may be tried again.
+    ) -> CommitOutcome | None:
+        """Reads the rows back to learn the outcome of a commit.
+
+        Only the chunk's result pointer shows whether the commit took effect,
+        because a takeover keeps the pointers. A row older than ``held`` is a stale
+        read.
 
-        The pointer alone tells whether the commit took effect: the row may
-        have been taken over since, with the pointer kept. A row older than the
-        one held is a stale read and proves nothing.
+        Returns:
+          The outcome, or None if the commit may be retried.
         """
         key = segment_key(held.job.job, held.segment)
         rows = await self.platform.read([key, job_key(held.job.job)])
@@ -246,25 +261,29 @@
         if found is None or job is None or found.version < held.version:
             return None
         current = decode_row(found, SegmentRow)
-        mine = _holder(current) == _holder(held.row)
+        same_holder = _holder_identity(current) == _holder_identity(held.row)
         if current.results[chunk] == row.results[chunk]:
             held.row = row
-            if mine:
+            if same_holder:
                 held.row, held.version = current, found.version
-            return Commit.DONE
+            return CommitOutcome.DONE
         if decode_row(job, JobRow).state is not JobState.OPEN:
-            return Commit.JOB_ENDED
-        return Commit.TAKEN_OVER if found.version != held.version else None
+            return CommitOutcome.JOB_ENDED
+        return CommitOutcome.TAKEN_OVER if found.version != held.version else None
 
-    async def _drop_object(self, name: str) -> None:
+    async def _delete_orphan(self, name: str) -> None:
         try:
             await self.platform.delete_object(name)
         except (PlatformUnavailableError, AnswerLostError) as error:
-            _log.info("A result of no segment stays.", object=name, reason=str(error))
+            _log.info(
+                "Orphaned result object could not be deleted.",
+                object=name,
+                reason=str(error),
+            )
 
     async def release(self, held: HeldSegment) -> None:
-        """Gives a segment up, so that another instance claims it at once."""
-        row = SegmentRow(holder=NOBODY, incarnation=0, results=held.row.results)
+        """Releases a segment, so that another instance can claim it at once."""
+        row = SegmentRow(holder=NO_HOLDER, incarnation=0, results=held.row.results)
         key = segment_key(held.job.job, held.segment)
         await self.platform.transact(
             Transaction(
@@ -274,7 +293,7 @@
         )
 
     async def challenge(self, holder: InstanceId, challenger: InstanceId) -> None:
-        """Asks a silent holder for a sign of life."""
+        """Writes a liveness challenge to a holder, unless one is pending."""
         key = challenge_key(holder)
         await self.platform.transact(
             Transaction(
@@ -284,26 +303,26 @@
         )
 
     async def challenge_version(self, holder: InstanceId) -> int:
-        """Returns the version of a holder's challenge row; 0 for none."""
+        """Returns the storage version of a holder's challenge row, 0 if it has none."""
         key = challenge_key(holder)
         row = (await self.platform.read([key])).get(key)
         return row.version if row else ABSENT
 
-    async def answer_challenge(self, instance: InstanceId, version: int) -> None:
-        """Removes the challenge that was read with this version."""
+    async def respond_to_challenge(self, instance: InstanceId, version: int) -> None:
+        """Deletes the challenge row, if it still has this version."""
         key = challenge_key(instance)
         await self.platform.transact(
             Transaction(checks=[Check(key, version)], deletes=[key])
         )
 
-    async def look(
+    async def check_held(
         self, instance: InstanceId, held: Sequence[HeldSegment]
     ) -> tuple[int, list[HeldSegment]]:
-        """Reads, in one call, what a holder must notice.
+        """Checks, with one read, for a challenge and for segments no longer held.
 
         Returns:
           The version of the challenge to this instance, 0 for none; and those
-          held segments that were taken over or whose job has ended.
+          segments that were taken over or whose job has ended.
         """
         own = challenge_key(instance)
         keys = {own}
@@ -316,13 +335,15 @@
 
 
 def _still_held(held: HeldSegment, rows: dict[str, Row]) -> bool:
-    """Compares holders, not versions: a commit of one's own may be under way."""
+    """Compares holders, not versions: a concurrent commit changes the version."""
     job = rows.get(job_key(held.job.job))
     segment = rows.get(segment_key(held.job.job, held.segment))
     if job is None or segment is None or job.version != held.job_version:
         return False
-    return _holder(decode_row(segment, SegmentRow)) == _holder(held.row)
+    return _holder_identity(decode_row(segment, SegmentRow)) == _holder_identity(
+        held.row
+    )
 
 
-def _holder(row: SegmentRow) -> tuple[InstanceId, int]:
+def _holder_identity(row: SegmentRow) -> tuple[InstanceId, int]:
     return row.holder, row.incarnation
--- a/src/coppercleat/batch/_state.py
+++ b/src/coppercleat/batch/_state.py
@@ -1,4 +1,4 @@
-"""What the parts of the batch path share."""
+"""State shared by the components of one instance's batch processing."""
 
 from __future__ import annotations
 
@@ -9,38 +9,38 @@
 import trio
 
 from coppercleat.batch._ports import Fleet
+from coppercleat.batch._segment_work import SegmentWork
 from coppercleat.batch._store import JobStore
-from coppercleat.batch._work import SegmentWork
 from coppercleat.configuration import Deployment, Document, Kind
 from coppercleat.ids import InstanceId
 from coppercleat.observability import Metrics
 from coppercleat.settings import BatchSettings
 from coppercleat.storage import paced
 
-_WATCH_READS_PER_S = 300.0
+_MAX_CHECK_READS_PER_S = 300.0
 
 
 @attrs.define(kw_only=True, eq=False)
 class BatchState:
-    """One instance's part in all open jobs.
+    """Claimed segments, dependencies and wake-up events of one instance.
 
     Attributes:
       instance: This instance.
-      incarnation: Gives which start of it this is.
-      settings: Limits.
-      store: Jobs on the platform.
+      incarnation: Returns the incarnation of this instance.
+      settings: Batch settings.
+      store: Jobs in platform storage.
       fleet: Upstreams and other instances.
-      document: The configuration in force.
-      metrics: Where to count.
-      clock: Gives Unix time in seconds.
+      document: The current configuration.
+      metrics: Metrics of this instance.
+      clock: Returns Unix time in seconds.
       rng: Source of randomness.
-      pick_version: Draws a version of a deployment.
-      held: Segments that this instance holds.
-      draining: Whether nothing new is begun.
-      held_results: Chunks complete and not yet committed.
-      open_jobs: Open jobs at the last look.
-      wake: Set when items may be started.
-      look: Set when jobs should be looked at now.
+      pick_version: Selects a model version of a deployment.
+      held: Segments claimed by this instance.
+      draining: Whether the instance claims no segments and starts no chunks.
+      uncommitted_chunks: Number of complete chunks not yet committed.
+      open_jobs: Number of open jobs at the last poll.
+      wake: Set when items may have become ready to dispatch.
+      poll_requested: Set to poll for jobs before the interval has passed.
     """
 
     instance: InstanceId
@@ -55,25 +55,25 @@
     pick_version: Callable[[Deployment], str]
     held: list[SegmentWork] = attrs.field(factory=list)
     draining: bool = False
-    held_results: int = 0
+    uncommitted_chunks: int = 0
     open_jobs: int = 0
     wake: trio.Event = attrs.field(factory=trio.Event)
-    look: trio.Event = attrs.field(factory=trio.Event)
+    poll_requested: trio.Event = attrs.field(factory=trio.Event)
 
     @property
-    def results_full(self) -> bool:
-        """Whether as many chunks wait for their commit as may."""
-        return self.held_results >= self.settings.max_held_chunks
+    def at_uncommitted_limit(self) -> bool:
+        """Whether the limit of uncommitted chunks is reached."""
+        return self.uncommitted_chunks >= self.settings.max_held_chunks
 
     def deployment_of(self, segment: SegmentWork) -> Deployment | None:
-        """Returns the deployment that a segment's items run on."""
+        """Returns the deployment of a segment's job, or None if it was removed."""
         return self.document.get(Kind.DEPLOYMENT, segment.held.job.deployment)
 
-    def drop(self, segment: SegmentWork) -> None:
-        """Forgets a segment that is finished or lost."""
+    def remove_segment(self, segment: SegmentWork) -> None:
+        """Removes a segment that is finished or no longer held."""
         if segment in self.held:
             self.held.remove(segment)
 
-    def watch_pause_s(self) -> float:
-        """Returns how long a holder waits between looks at its segments."""
-        return paced(self.settings.poll_s, self.fleet.live(), _WATCH_READS_PER_S)
+    def check_interval_s(self) -> float:
+        """Returns the interval in seconds between checks of the held segments."""
+        return paced(self.settings.poll_s, self.fleet.live(), _MAX_CHECK_READS_PER_S)
--- a/src/coppercleat/batch/_store.py
+++ b/src/coppercleat/batch/_store.py
@@ -1,4 +1,4 @@
-"""Jobs as the platform keeps them, put together from what is done with them."""
+"""Access to the jobs in platform storage."""
 
 from __future__ import annotations
 
@@ -6,23 +6,22 @@
 from collections.abc import Callable
 
 from coppercleat.batch._acceptance import JobAcceptance
-from coppercleat.batch._ending import JobEnding
+from coppercleat.batch._finisher import JobFinisher
 from coppercleat.batch._reading import JobReader
 from coppercleat.batch._segments import SegmentStore
 from coppercleat.storage import Platform
 
 
 class JobStore:
-    """Reads and writes jobs through the platform.
+    """Groups the operations on stored jobs.
 
-    Every method of its parts raises ``PlatformUnavailableError`` when the platform
-    is away.
+    Every operation raises ``PlatformUnavailableError`` if the platform is unavailable.
 
     Attributes:
       reader: Reads jobs and results.
       acceptance: Accepts jobs.
       segments: Claims segments and commits their chunks.
-      ending: Completes and cancels jobs.
+      finisher: Completes and cancels jobs.
     """
 
     def __init__(
@@ -32,14 +31,14 @@
         clock: Callable[[], float],
         rng: random.Random,
     ) -> None:
-        """Prepares the parts.
+        """Initializes the components.
 
         Args:
-          platform: Where rows and objects are.
-          clock: Gives Unix time in seconds.
-          rng: Source of ids.
+          platform: Storage of rows and objects.
+          clock: Returns Unix time in seconds.
+          rng: Source of ids and tokens.
         """
         self.reader = JobReader(platform)
         self.acceptance = JobAcceptance(platform, self.reader, clock=clock, rng=rng)
         self.segments = SegmentStore(platform, rng=rng)
-        self.ending = JobEnding(platform, self.reader, clock=clock)
+        self.finisher = JobFinisher(platform, self.reader, clock=clock)
--- a/tests/features/steps/order_steps.py
+++ b/tests/features/steps/order_steps.py
@@ -1,4 +1,4 @@
-"""Steps that change what engines should have, and see what they got."""
+"""Steps that change the desired versions and check those loaded on engines."""
 
 import json
 
@@ -7,7 +7,7 @@
 from behave import then, when
 
 from coppercleat.emulator import expected_text
-from coppercleat.orders import Wanted, plan_orders
+from coppercleat.orders import DesiredVersions, plan_orders
 from tests.harness import until
 from tests.harness.scenario import Outcome, act_on_entry, engines, entry
 
@@ -59,8 +59,8 @@
     context.fleet.run(run)
 
 
-@when("the deployment wants {versions} at a living entry")
-def want_at_living(context, versions):
+@when("the deployment wants {versions} at another entry")
+def want_at_another(context, versions):
     number = context.holder % len(context.fleet.entries) + 1
 
     async def run():
@@ -79,7 +79,7 @@
             "OperatorService",
             "Apply",
             seenRevision=2,
-            changeId="at a living entry",
+            changeId="at another entry",
             operations=[operation],
         )
 
@@ -120,18 +120,18 @@
 @when("the holder of the lease is {done}")
 def act_on_holder(context, done):
     for number, name in enumerate(context.fleet.entries, start=1):
-        if '"Lease taken."' in context.fleet.processes[name].output():
+        if '"Lease acquired."' in context.fleet.processes[name].output():
             context.holder = number
     act_on_entry(context, context.holder, done)
 
 
-@when("the old holder is resumed")
+@when("the paused holder is resumed")
 def resume_holder(context):
     act_on_entry(context, context.holder, "resumed")
 
 
-@when('an old holder orders engine {number:d} to unload "{version}"')
-def old_order(context, number, version):
+@when('a previous holder orders engine {number:d} to unload "{version}"')
+def stale_order(context, number, version):
     name = engines(context)[number - 1]
     url = f"http://127.0.0.1:{context.fleet.ports[name]}/orders"
     body = {"action": "unload", "version": version, "fence": 0}
@@ -152,13 +152,13 @@
         name: [] if text == "-" else text.split(",")
         for name, text in zip("abc", row["loaded"].split(), strict=True)
     }
-    versions = frozenset(row["wanted"].replace("-", "").split(",")) - {""}
+    versions = frozenset(row["desired"].replace("-", "").split(",")) - {""}
     planned = plan_orders(
-        Wanted(versions=versions, min_serving=1),
+        DesiredVersions(versions=versions, min_serving=1),
         loaded,
         max_loads=2,
         may_unload=row["unload"] == "yes",
     )
     signs = {"load": "+", "unload": "-"}
-    said = [f"{o.upstream}{signs[o.action]}{o.version}" for o in planned]
-    assert (" ".join(said) or "nothing") == orders, said
+    formatted = [f"{o.upstream}{signs[o.action]}{o.version}" for o in planned]
+    assert (" ".join(formatted) or "nothing") == orders, formatted
