--- a/src/coppercleat/membership/__init__.py
+++ b/src/coppercleat/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Which entry instances live, and what they tell each other."""
+"""Membership of the instances, and the transport of messages between them."""
 
 from coppercleat.membership._detector import Detector, Member
 from coppercleat.membership._envelope import (
--- a/src/coppercleat/membership/_envelope.py
+++ b/src/coppercleat/membership/_envelope.py
@@ -1,10 +1,8 @@
-"""Seals and opens messages between members.
+"""Authenticated envelopes for messages between members.
 
-An envelope is a format byte, a BLAKE2b MAC, and MessagePack of sender,
-incarnation, number, message, the number last heard of the receiver, and whether an
-answer is asked for. The number grows with each envelope, so that
-a replayed one is dropped. Several keys may be accepted at once, so that the
-key can be changed without a stop; the first one seals.
+An envelope is a format byte, a BLAKE2b MAC, and an ``_Envelope`` in MessagePack. Each
+envelope has a higher number than the last, so that replayed ones are rejected. A reader
+accepts several keys at once, so that the key can be rotated without downtime.
 """
 
 from __future__ import annotations
@@ -28,7 +26,16 @@
 _M = TypeVar("_M")
 
 
-class _Sealed(msgspec.Struct, Generic[_M], array_like=True):
+class _Envelope(msgspec.Struct, Generic[_M], array_like=True):
+    """The authenticated part of an envelope.
+
+    Attributes:
+      number: Number of this envelope; increases within the incarnation.
+      heard: Number of the last envelope received from the receiver; 0 if none, None if
+        the sender's release does not send acknowledgements.
+      asks: Whether the sender requests an acknowledgement.
+    """
+
     sender: InstanceId
     incarnation: int
     number: int
@@ -38,22 +45,21 @@
 
 
 class Garbage(msgspec.Struct, frozen=True):
-    """Sentinel: the bytes are not a fresh message from a member.
+    """Result for bytes that are not a valid, fresh message from a member.
 
     Attributes:
-      reason: Why; a short name for a metric.
+      reason: Label of the cause in a metric.
     """
 
     reason: str
 
 
 class Opened(msgspec.Struct, frozen=True):
-    """A fresh message from a member.
+    """An authenticated message that is not a replay.
 
     Attributes:
-      heard: Number of the last envelope that the sender had of the receiver; 0 if
-        none, None from a member whose release does not tell.
-      asks: Whether the sender asks for an answer.
+      heard: As in ``_Envelope``.
+      asks: Whether the sender requests an acknowledgement.
     """
 
     sender: InstanceId
@@ -71,9 +77,11 @@
 
 
 class EnvelopeWriter:
-    """Seals one instance's messages.
+    """Puts one instance's messages into envelopes.
 
     Attributes:
+      sender: The instance.
+      incarnation: Its current incarnation.
       number: Number of the last envelope.
     """
 
@@ -87,40 +95,40 @@
     def seal(
         self, message: msgspec.Struct, *, heard: int = 0, asks: bool = False
     ) -> bytes:
-        """Returns the bytes to send.
+        """Returns the bytes of the next envelope.
 
         Args:
-          message: What to say.
-          heard: Number of the receiver's last envelope that was opened; 0 if none.
-          asks: Whether to ask for an answer.
+          message: Its content.
+          heard: Number of the last envelope received from the receiver; 0 if none.
+          asks: Whether to request an acknowledgement.
         """
         self.number += 1
         payload = self._encoder.encode(
-            _Sealed(self.sender, self.incarnation, self.number, message, heard, asks)
+            _Envelope(self.sender, self.incarnation, self.number, message, heard, asks)
         )
         return _FORMAT + _mac(self._key, payload) + payload
 
 
 class EnvelopeReader:
-    """Opens envelopes from any member."""
+    """Authenticates and decodes envelopes from all members."""
 
     def __init__(self, *, keys: Sequence[str], messages: Any = Message) -> None:
-        """Prepares the reader.
+        """Initializes the reader.
 
         Args:
-          keys: Keys that are accepted.
-          messages: Union of the kinds of messages that may come.
+          keys: Accepted keys.
+          messages: Union of the accepted message types.
         """
         self._keys = [_key_bytes(key) for key in keys]
         self._latest: dict[InstanceId, tuple[int, int]] = {}
-        self._decoder = msgspec.msgpack.Decoder(_Sealed[messages])
+        self._decoder = msgspec.msgpack.Decoder(_Envelope[messages])
 
     def heard(self, sender: InstanceId) -> int:
-        """Returns the number of a member's last envelope; 0 if there was none."""
+        """Returns the number of the last envelope of a member; 0 if there was none."""
         return self._latest.get(sender, (0, 0))[1]
 
     def open(self, data: bytes) -> Opened | Garbage:
-        """Returns what a member says, or why the bytes are dropped."""
+        """Returns the message, or the reason why the bytes are rejected."""
         if len(data) > MAX_MESSAGE_BYTES:
             return Garbage("too_long")
         if data[:1] != _FORMAT:
@@ -132,10 +140,10 @@
             sealed = self._decoder.decode(payload)
         except (msgspec.DecodeError, msgspec.ValidationError):
             return Garbage("does_not_fit")
-        order = (sealed.incarnation, sealed.number)
-        if order <= self._latest.get(sealed.sender, (0, 0)):
+        position = (sealed.incarnation, sealed.number)
+        if position <= self._latest.get(sealed.sender, (0, 0)):
             return Garbage("replayed")
-        self._latest[sealed.sender] = order
+        self._latest[sealed.sender] = position
         return Opened(sealed.sender, sealed.message, sealed.heard, sealed.asks)
 
     def forget(self, sender: InstanceId) -> None:
--- a/src/coppercleat/membership/_handlers.py
+++ b/src/coppercleat/membership/_handlers.py
@@ -1,4 +1,4 @@
-"""A registry of message handlers, filled by a decorator."""
+"""A registry of handlers by message type."""
 
 from __future__ import annotations
 
@@ -10,17 +10,20 @@
 from coppercleat.ids import InstanceId
 
 Handler = Callable[[Any, InstanceId, Any], None]
-"""Called with the object that received, the sender and the message."""
+"""Called with the receiving object, the sender and the message."""
 
 
 class HandlerRegistry:
-    """Handlers by the kind of message."""
+    """Dispatches each message to the handler of its type."""
 
     def __init__(self) -> None:
         self._by_kind: dict[type[msgspec.Struct], Handler] = {}
 
     def handles(self, kind: type[msgspec.Struct]) -> Callable[[Handler], Handler]:
-        """Registers the handler of a kind of message."""
+        """Returns a decorator that registers the handler of a message type.
+
+        A second registration for the type replaces the first.
+        """
 
         def register(handler: Handler) -> Handler:
             self._by_kind[kind] = handler
@@ -31,5 +34,9 @@
     def dispatch(
         self, receiver: Any, sender: InstanceId, message: msgspec.Struct
     ) -> None:
-        """Hands a message to its handler."""
+        """Calls the handler of the message's type.
+
+        Raises:
+          KeyError: No handler is registered for the type.
+        """
         self._by_kind[type(message)](receiver, sender, message)
--- a/src/coppercleat/membership/_links.py
+++ b/src/coppercleat/membership/_links.py
@@ -1,7 +1,7 @@
 """Carries envelopes between instances over ``pynng`` push and pull sockets.
 
-A message is sent or dropped, never waited for: a slow or dead member cannot
-hold up the others. Whoever needs an answer asks again.
+Sending never blocks: a message that cannot be queued at once is dropped, so that a slow
+or crashed member does not delay the others. Senders that need a reply must retry.
 """
 
 from __future__ import annotations
@@ -17,22 +17,23 @@
 _MAX_LINKS = 96
 _SEND_BUFFER = 64
 _RECEIVE_BUFFER = 256
-_TAKEN_AT_ONCE = 32
-"""Messages taken after one wait, which costs as much as some ten of them; then others
-have their turn."""
+_MAX_RECEIVE_BATCH = 32
+"""Messages read without waiting before other tasks may run."""
 
 _RECONNECT_MIN_MS = 50
 _RECONNECT_MAX_MS = 1000
 
 
 class Links:
-    """Sockets to other instances, opened on first use, the least used closed.
+    """Sockets to other instances, opened on first use.
+
+    The least recently used socket is closed when there are too many.
 
     Attributes:
-      sent_bytes: Bytes handed to sockets so far.
-      received_bytes: Bytes taken from sockets so far.
-      dropped: Messages not sent because a link was down or full.
-      reopened: Times that a link was closed since nothing came through.
+      sent_bytes: Total bytes passed to sockets.
+      received_bytes: Total bytes received.
+      dropped: Messages not sent because a socket failed or its buffer was full.
+      reopened: Times that a socket was closed by ``reopen``.
     """
 
     def __init__(self, listen: str) -> None:
@@ -50,7 +51,7 @@
         )
 
     def send(self, address: str, data: bytes) -> bool:
-        """Sends to ``IP:PORT`` without waiting; returns whether it was taken."""
+        """Sends to ``IP:PORT`` without blocking; returns whether it was queued."""
         try:
             self._link(address).send(data, block=False)
         except pynng.NNGException:
@@ -60,18 +61,18 @@
         return True
 
     async def receive(self, handle: Callable[[bytes], Awaitable[None]]) -> None:
-        """Passes each message received to ``handle``, for ever."""
+        """Passes each message received to ``handle`` until cancelled."""
         while True:
-            await self._take(await self._pull.arecv(), handle)
-            for _ in range(_TAKEN_AT_ONCE):
+            await self._deliver(await self._pull.arecv(), handle)
+            for _ in range(_MAX_RECEIVE_BATCH):
                 try:
-                    # recv() itself fails for an empty message.
+                    # pynng's recv() fails for an empty message.
                     data = self._pull.recv_msg(block=False).bytes
                 except pynng.TryAgain:
                     break
-                await self._take(data, handle)
+                await self._deliver(data, handle)
 
-    async def _take(
+    async def _deliver(
         self, data: bytes, handle: Callable[[bytes], Awaitable[None]]
     ) -> None:
         self.received_bytes += len(data)
@@ -81,7 +82,7 @@
         """Closes the socket to an address; the next message opens a new one.
 
         Returns:
-          False if there was none, as when it was the least used.
+          Whether there was a socket to close.
         """
         dropped = self._drop(address)
         self.reopened += dropped
@@ -94,7 +95,7 @@
         self._pull.close()
 
     def _drop(self, address: str) -> bool:
-        """Closes the socket to an address; returns whether there was one."""
+        """Closes the socket to an address, if any; returns whether there was one."""
         link = self._links.pop(address, None)
         if link is None:
             return False
--- a/src/coppercleat/membership/_messages.py
+++ b/src/coppercleat/membership/_messages.py
@@ -1,4 +1,4 @@
-"""What entry instances tell each other; every list is bounded."""
+"""Messages between instances; the length of every list is limited."""
 
 from __future__ import annotations
 
@@ -14,17 +14,20 @@
 _MAX_MEMBERS = 64
 _MAX_CHANGES = 512
 MAX_ARRIVALS = 1024
-"""Upstreams in one message at most."""
+"""Most upstreams in one ``OnlineArrivals``."""
 
 _MAX_NODES = 20_000
 
 
 class MemberLine(Struct, frozen=True, array_like=True):
-    """What a heartbeat passes on of one member.
+    """State of one member, as heartbeats carry it.
 
     Attributes:
-      incarnation: Grows with each start of the instance.
-      beat: Grows with each heartbeat of the incarnation.
+      instance: The member.
+      address: ``IP:PORT`` on which it receives messages.
+      zone: Its availability zone.
+      incarnation: Increases with each start of the instance.
+      beat: Heartbeat counter, increases within the incarnation.
       revision: Its configuration revision.
     """
 
@@ -37,43 +40,52 @@
 
 
 class Heartbeat(Struct, frozen=True, tag="hb", array_like=True):
-    """A sign of life, with what the sender has heard of some others."""
+    """The sender's own state, and the states that it relays of other members."""
 
     own: MemberLine
     heard: Annotated[tuple[MemberLine, ...], Meta(max_length=_MAX_MEMBERS)]
 
 
 class LinkCheck(Struct, frozen=True, tag="check", array_like=True):
-    """Says nothing itself; its envelope asks for an answer, or is one."""
+    """Has no content; its envelope requests or carries an acknowledgement."""
 
 
 class ConfigurationPull(Struct, frozen=True, tag="pull", array_like=True):
-    """Asks for what follows a revision, and for the nodes if none are known."""
+    """Requests the changes after a revision.
+
+    Attributes:
+      after: The sender's revision.
+      wants_nodes: Whether the sender also requests a ``NodesKnown``.
+    """
 
     after: Revision
     wants_nodes: bool = False
 
 
 class ConfigurationChanges(Struct, frozen=True, tag="changes", array_like=True):
-    """Accepted changes in order."""
+    """Accepted configuration changes, by ascending revision."""
 
     changes: Annotated[tuple[Change, ...], Meta(max_length=_MAX_CHANGES)]
 
 
 class ConfigurationSnapshot(Struct, frozen=True, tag="snapshot", array_like=True):
-    """The whole configuration, for a member too far behind."""
+    """The whole configuration, for a member whose revision is too old for changes."""
 
     snapshot: Snapshot
 
 
 class NodesKnown(Struct, frozen=True, tag="nodes", array_like=True):
-    """The platform's list as the sender last read it."""
+    """The platform's list of nodes as the sender last read it."""
 
     nodes: Annotated[tuple[Node, ...], Meta(max_length=_MAX_NODES)]
 
 
 class OnlineArrivals(Struct, frozen=True, tag="online", array_like=True):
-    """The sender's online requests in flight on upstreams that others feed."""
+    """The sender's online requests in flight, for the batch dispatchers.
+
+    Attributes:
+      in_flight: Upstreams and the number of requests in flight on each.
+    """
 
     in_flight: Annotated[
         tuple[tuple[UpstreamId, int], ...], Meta(max_length=MAX_ARRIVALS)
@@ -81,13 +93,13 @@
 
 
 class UpstreamLeaving(Struct, frozen=True, tag="leaving", array_like=True):
-    """An upstream has said that it is leaving."""
+    """An upstream has announced that it is draining."""
 
     upstream: UpstreamId
 
 
 class JobHint(Struct, frozen=True, tag="job", array_like=True):
-    """A job was accepted or cancelled; look at it now."""
+    """A job was accepted or cancelled; the receiver should read it at once."""
 
     job: JobId
 
--- a/src/coppercleat/membership/_messenger.py
+++ b/src/coppercleat/membership/_messenger.py
@@ -1,4 +1,4 @@
-"""One member's end of all that members tell each other."""
+"""Sends and receives the messages of one instance."""
 
 from __future__ import annotations
 
@@ -14,22 +14,28 @@
 from coppercleat.membership._handlers import HandlerRegistry
 from coppercleat.membership._links import Links
 from coppercleat.membership._messages import Heartbeat, LinkCheck, Message
-from coppercleat.membership._silent_links import TICK_S, Kind, LinkWatch, Mended, Silent
+from coppercleat.membership._silent_links import (
+    CHECK_INTERVAL_S,
+    Kind,
+    LinkWatch,
+    RecoveredLink,
+    Silent,
+)
 from coppercleat.observability import part_logger
 
 _log = part_logger("peers")
 
 
 class Messenger:
-    """Sends and receives for one member, and sends its heartbeats.
+    """Exchanges messages with the other members, and reopens silent links.
 
     Attributes:
-      detector: Which members are heard of.
+      detector: Failure detector; has the members' addresses.
       links: Sockets to the other members.
-      watch: Which links have fallen silent; those are opened anew.
-      mended: Times that a silent link was answered again.
-      on_reopened: Told of a link that was silent; what it carried is lost, so its other
-        end is to be told all anew.
+      watch: Detects silent links.
+      mended: Times that an acknowledgement arrived on a silent link.
+      on_reopened: Called with each silent link after it is reopened. Messages on it may
+        be lost, so the callee should send the current state again.
     """
 
     def __init__(
@@ -48,15 +54,15 @@
         """Opens the listening socket.
 
         Args:
-          detector: Takes heartbeats, knows addresses.
-          listen: ``IP:PORT`` on which messages arrive.
-          seeds: Addresses to tell of this member while no other is heard of.
-          keys: The first seals messages, all open them.
-          receiver: Passed to the handlers of messages.
-          handlers: By kind of message.
-          messages: Union of the kinds of messages that may come.
-          on_garbage: Told why a message was dropped.
-          on_reopened: See above.
+          detector: Failure detector of this instance.
+          listen: ``IP:PORT`` to listen on.
+          seeds: Addresses that get heartbeats while no other member is alive.
+          keys: Accepted keys; messages are sent with the first.
+          receiver: First argument of the message handlers.
+          handlers: Message handlers by message type.
+          messages: Union of the accepted message types.
+          on_garbage: Called with the reason when a message is rejected.
+          on_reopened: See the attribute.
         """
         self.detector = detector
         self.links = Links(listen)
@@ -74,11 +80,11 @@
         )
 
     async def run(self) -> None:
-        """Receives until cancelled, and opens silent links anew."""
+        """Receives messages and reopens silent links until cancelled."""
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self.links.receive, self.receive)
-                nursery.start_soon(self._watch_forever)
+                nursery.start_soon(self._check_links_forever)
         finally:
             self.links.close()
 
@@ -89,19 +95,19 @@
         for instance in targets:
             self.send(instance, heartbeat, kind=Kind.ROUTINE)
         if not self.detector.alive(now)[1:]:
-            self._tell_seeds(heartbeat)
+            self._send_to_seeds(heartbeat)
         if self.detector.paused:
-            _log.warning("This instance was paused.")
+            _log.warning("This process was suspended.")
 
     def greet(self, instances: Collection[InstanceId]) -> None:
-        """Lets members know at once that this one lives; beats reach them by turns."""
+        """Sends this instance's state at once, before their turn in the heartbeats."""
         for instance in instances:
             self.send(instance, Heartbeat(self.detector.own, ()))
 
     def send(
         self, instance: InstanceId, message: msgspec.Struct, *, kind: Kind = Kind.NEWS
     ) -> None:
-        """Sends to a member if its address is known; never waits."""
+        """Sends to a member without blocking; does nothing for an unknown member."""
         member = self.detector.members.get(instance)
         if member is None:
             return
@@ -112,29 +118,29 @@
         sealed = self._writer.seal(message, heard=heard, asks=asks)
         self.links.send(member.address, sealed)
 
-    def _tell_seeds(self, heartbeat: Heartbeat) -> None:
+    def _send_to_seeds(self, heartbeat: Heartbeat) -> None:
         for address in self._seeds:
             if address != self._listen:
                 self.links.send(address, self._writer.seal(heartbeat))
 
-    async def _watch_forever(self) -> None:
+    async def _check_links_forever(self) -> None:
         while True:
-            await trio.sleep(TICK_S)
-            self._look_after_links(trio.current_time())
+            await trio.sleep(CHECK_INTERVAL_S)
+            self._check_links(trio.current_time())
 
-    def _look_after_links(self, now: float) -> None:
+    def _check_links(self, now: float) -> None:
         due = self.watch.tick(now)
         for silent in due.silent:
             self._reopen(silent)
         for mended in due.mended:
-            self._note_mended(mended)
+            self._record_recovery(mended)
         for instance in due.questions:
             self.send(instance, LinkCheck())
         for instance in due.answers:
             self.send(instance, LinkCheck(), kind=Kind.ANSWER)
 
     async def receive(self, data: bytes) -> None:
-        """Takes one sealed message."""
+        """Handles the bytes of one envelope."""
         opened = self._reader.open(data)
         if isinstance(opened, Garbage):
             self._on_garbage(opened.reason)
@@ -142,7 +148,7 @@
         sender = opened.sender
         if sender == self.detector.own.instance:
             return
-        # A number that is not this start's own tells of an earlier one's messages.
+        # Higher numbers acknowledge messages of an earlier incarnation.
         heard = opened.heard
         if heard is not None and heard > self._writer.number:
             heard = 0
@@ -156,21 +162,21 @@
         member = self.detector.members.get(silent.peer)
         if member is None:
             return
-        # The socket may be gone as the least used: what it carried is lost too.
+        # Messages may be lost even if the socket was already closed as least used.
         self.links.reopen(member.address)
         _log.info(
-            "A link is opened anew.",
+            "Reopened a silent link.",
             peer=silent.peer,
             way=silent.way.value,
-            silent_s=round(silent.unanswered_s, 2),
+            silent_s=round(silent.unacked_s, 2),
             reopened=silent.reopened,
         )
         self.on_reopened(silent)
 
-    def _note_mended(self, mended: Mended) -> None:
+    def _record_recovery(self, mended: RecoveredLink) -> None:
         self.mended += 1
         _log.info(
-            "A link is answered again.",
+            "A silent link recovered.",
             peer=mended.peer,
             silent_s=round(mended.silent_s, 2),
             reopened=mended.reopened,
--- a/src/coppercleat/membership/_silent_links.py
+++ b/src/coppercleat/membership/_silent_links.py
@@ -1,9 +1,8 @@
-"""Tells which links to other members have fallen silent: what is sent is not answered.
+"""Detects silent links: links to other members on which messages are not acknowledged.
 
-An open connection may lose all that is sent, without an error, while new ones work.
-Only the other end can tell, so each message says which one the sender heard last of
-its receiver, and some ask for an answer. Each end judges its own link, the one by
-which it sends; neither needs the other end to complain.
+An open connection may lose all messages without an error while new connections work.
+Each message therefore acknowledges the last one received from its receiver, and some
+request an acknowledgement. Each end checks only the link on which it sends.
 """
 
 from __future__ import annotations
@@ -14,93 +13,90 @@
 
 from coppercleat.ids import InstanceId
 
-TICK_S = 0.1
-"""Links are looked at so often: a look costs some 0.1 ms. Answers that are owed wait so
-long for a message that goes there anyway."""
+CHECK_INTERVAL_S = 0.1
+"""Interval between checks of all links, and the longest time for which a requested
+acknowledgement waits for another message that can carry it."""
 
-_LONGEST_TICK_S = 2 * TICK_S
-"""Time that passes at once counts as this much at most: a member that was stopped or
-busy has not yet read the answers that wait for it."""
+_MAX_CLOCK_STEP_S = 2 * CHECK_INTERVAL_S
+"""Longer times between checks count as this much: after a suspension of this process,
+acknowledgements may have arrived that have not been read yet."""
 
-ANSWER_WITHIN_S = 0.3
-"""A link is silent when a question has no answer for so long: answers take a tick and
-a millisecond, 0.1 s more at a busy member; opening a link anew costs a few ms."""
+ACK_TIMEOUT_S = 0.3
+"""Initial timeout of a requested acknowledgement, after which the link is silent."""
 
-LONGEST_PATIENCE_S = 5.0
-"""The time for an answer doubles with each new link that is not answered either, up to
-this: a member that is stopped costs a connection each so often at most."""
+MAX_ACK_TIMEOUT_S = 5.0
+"""Limit of the timeout, which doubles each time the link is reopened. It bounds the
+rate of connections to a member that is suspended."""
 
-_PATIENCE_OF_ANSWER = 2.0
-"""A member that is slow gets so many times what its last answer took."""
+_ACK_TIMEOUT_FACTOR = 2.0
+"""The timeout is at least this many times the last round-trip time."""
 
-_TO_READ = 0.5
-"""What comes after this part of the time for an answer and does not tell of a message
-shows that it was lost: it was sent after the message should have been read."""
+_LOSS_FRACTION = 0.5
+"""A message has been lost if one that arrives later than this fraction of the timeout
+does not acknowledge it."""
 
-ASK_PAUSE_S = 0.2
-"""Between two questions on a link, so that a silent one is known in half a second."""
+ACK_REQUEST_INTERVAL_S = 0.2
+"""Shortest interval between two requests on one link."""
 
-ASKS_PER_S = 40
-"""Questions a second on all links together: each may cost an answer of some 60 bytes,
-so 2.4 KB/s at most; members that talk to each other answer by the way."""
+MAX_ACK_REQUESTS_PER_S = 40
+"""Limit for all links together; bounds the traffic of acknowledgements."""
 
-QUIET_S = 1.2
-"""What is said by routine is asked after only when nothing has come from there for so
-long: both ends say something once a second, which tells of it for nothing, and a silent
-link is still found before its member is taken for dead."""
+ROUTINE_ACK_DELAY_S = 1.2
+"""Routine messages request an acknowledgement only after this time without a message
+from the member. Its periodic messages, one a second, otherwise acknowledge them."""
 
-IDLE_S = 10.0
-"""A link by which nothing was sent for so long is no longer looked after."""
+IDLE_LINK_EXPIRY_S = 10.0
+"""A link is no longer checked after this time without a message sent on it."""
 
 
 class Kind(enum.Enum):
-    """How soon it must be known whether a message arrived."""
+    """How soon the acknowledgement of a message is needed."""
 
     NEWS = "news"
-    """At once."""
+    """Immediately."""
 
     ROUTINE = "routine"
-    """Before its receiver is taken for dead: it repeats what was told before."""
+    """Before the receiver is suspected: the content repeats an earlier message."""
 
     ANSWER = "answer"
-    """Never; it would else be answered for ever."""
+    """Never: the message is an acknowledgement itself."""
 
 
 class Way(enum.Enum):
-    """Which way is silent, as far as one end can tell."""
+    """Direction in which messages are lost, as far as one end can tell."""
 
     THERE = "there"
-    """The other end's messages arrive and do not tell of those sent to it."""
+    """To the other end: its messages arrive, but acknowledge none sent to it."""
 
     EITHER = "either"
-    """Nothing has arrived: messages may be lost, or their answers."""
+    """To or from the other end: no message has arrived from it."""
 
 
 @attrs.frozen
 class Silent:
-    """A link that must be opened anew.
+    """A link that must be reopened.
 
     Attributes:
       peer: The member at its other end.
-      way: Which way is silent.
-      unanswered_s: For how long something sent has not been answered.
-      reopened: How often it was opened anew before without an answer.
+      way: Direction in which messages are lost.
+      unacked_s: Seconds since the first message without an acknowledgement.
+      reopened: Times that it was reopened before without an acknowledgement.
     """
 
     peer: InstanceId
     way: Way
-    unanswered_s: float
+    unacked_s: float
     reopened: int
 
 
 @attrs.frozen
-class Mended:
-    """A link that is answered again.
+class RecoveredLink:
+    """A silent link on which an acknowledgement has arrived.
 
     Attributes:
       peer: The member at its other end.
-      silent_s: For how long something sent had not been answered.
-      reopened: How often it was opened anew.
+      silent_s: Seconds from the first message without an acknowledgement until then.
+      reopened: Times that it was reopened.
     """
 
     peer: InstanceId
@@ -109,25 +105,30 @@
 
 
 @attrs.define
-class Due:
-    """What is to be done now.
+class DueActions:
+    """Result of one check of all links.
 
     Attributes:
-      silent: Links to open anew.
-      mended: Links that are answered again.
-      questions: Members to be asked for an answer to what was sent before.
-      answers: Members to be sent an answer.
+      silent: Links to reopen.
+      mended: Links that have recovered since the last check.
+      questions: Members to request an acknowledgement from.
+      answers: Members to send an acknowledgement to.
     """
 
     silent: list[Silent] = attrs.field(factory=list)
-    mended: list[Mended] = attrs.field(factory=list)
+    mended: list[RecoveredLink] = attrs.field(factory=list)
     questions: list[InstanceId] = attrs.field(factory=list)
     answers: list[InstanceId] = attrs.field(factory=list)
 
 
 @attrs.frozen
-class _Sent:
-    """A message that is not known to have arrived."""
+class _SentMessage:
+    """A message that has not been acknowledged.
+
+    Attributes:
+      number: Its envelope's number.
+      at: Seconds on the adjusted clock at which it was sent.
+    """
 
     number: int
     at: float
@@ -135,181 +136,200 @@
 
 @attrs.define(eq=False)
 class _Link:
-    """The way to one member.
+    """State of the link to one member; times are seconds on the adjusted clock.
 
     Attributes:
-      news: Number of the last message sent, mere answers left out.
-      urgent: Number of the last one that is no routine.
-      sent_at: When the last one was sent.
-      unheard: The first one sent of which the other end has not told.
-      asked: The one that asked for an answer, while there is none.
-      asked_last: When one was last asked for.
-      heard_at: When something came from there.
-      unread: Whether what came later did not tell of ``unheard``.
-      owes: Whether the other end has asked for an answer.
-      patience_s: How long an answer may take.
-      silent_since: Since when the link is silent; None if it is not.
-      reopened: How often it was opened anew since.
-      tells: Whether the other end's release tells what it has heard.
+      last_sent_at: When the last message was sent.
+      last_received_at: When the last message arrived from the member.
+      last_sent: Number of the last message sent, without mere acknowledgements.
+      last_urgent: Number of the last message sent of the kind ``NEWS``.
+      oldest_unacked: The first message sent that has not been acknowledged.
+      pending_request: The message that requested an acknowledgement, until it arrives.
+      last_request_at: When an acknowledgement was last requested.
+      has_loss: Whether a later message of the member did not acknowledge
+        ``oldest_unacked``.
+      owes_ack: Whether the member has requested an acknowledgement.
+      ack_timeout_s: Timeout of a requested acknowledgement.
+      silent_since: When the first message without an acknowledgement was sent; None if
+        the link is not silent.
+      reopened: Times that the link was reopened since then.
+      sends_acks: Whether the member's release sends acknowledgements.
     """
 
-    sent_at: float
-    heard_at: float
-    news: int = 0
-    urgent: int = 0
-    unheard: _Sent | None = None
-    asked: _Sent | None = None
-    asked_last: float = float("-inf")
-    unread: bool = False
-    owes: bool = False
-    patience_s: float = ANSWER_WITHIN_S
+    last_sent_at: float
+    last_received_at: float
+    last_sent: int = 0
+    last_urgent: int = 0
+    oldest_unacked: _SentMessage | None = None
+    pending_request: _SentMessage | None = None
+    last_request_at: float = float("-inf")
+    has_loss: bool = False
+    owes_ack: bool = False
+    ack_timeout_s: float = ACK_TIMEOUT_S
     silent_since: float | None = None
     reopened: int = 0
-    tells: bool = True
+    sends_acks: bool = True
 
 
 class LinkWatch:
-    """Judges one member's links; the clock is passed in with each tick."""
+    """Detects the silent links of one instance.
+
+    Its adjusted clock follows the times of the calls, but long gaps between checks are
+    shortened to ``_MAX_CLOCK_STEP_S``.
+    """
 
     def __init__(self) -> None:
         self._links: dict[InstanceId, _Link] = {}
         self._now = 0.0
         self._ticked_at: float | None = None
-        self._mended: list[Mended] = []
+        self._mended: list[RecoveredLink] = []
 
     def silent(self) -> list[InstanceId]:
-        """Returns the members whose links were found silent and are not answered."""
+        """Returns the members whose links are silent and have not recovered."""
         links = self._links.items()
         return [peer for peer, link in links if link.silent_since is not None]
 
     def sent(
         self, peer: InstanceId, number: int, *, now: float, kind: Kind = Kind.NEWS
     ) -> bool:
-        """Notes a message to a member; returns whether it is to ask for an answer.
+        """Records a message to a member.
 
         Args:
-          peer: Who it goes to.
-          number: Its number; grows with each message.
-          now: Seconds on this member's clock.
-          kind: How soon it must be known whether it arrived.
+          peer: The receiver.
+          number: Number of its envelope; increases with each message.
+          now: Seconds on this instance's clock.
+          kind: How soon its acknowledgement is needed.
+
+        Returns:
+          Whether the message must request an acknowledgement.
         """
-        now = self._counted(now)
+        now = self._adjusted(now)
         link = self._link(peer, now)
-        link.sent_at, link.owes = now, False
-        if not link.tells:
+        link.last_sent_at, link.owes_ack = now, False
+        if not link.sends_acks:
             return False
-        sent = _Sent(number, now)
-        link.unheard = link.unheard or sent
+        sent = _SentMessage(number, now)
+        link.oldest_unacked = link.oldest_unacked or sent
         if kind is Kind.ANSWER:
             return False
-        link.news = number
+        link.last_sent = number
         if kind is Kind.NEWS:
-            link.urgent = number
-        if not self._must_ask(link, now):
+            link.last_urgent = number
+        if not self._needs_ack_request(link, now):
             return False
-        link.asked, link.asked_last = sent, now
+        link.pending_request, link.last_request_at = sent, now
         return True
 
     def received(
         self, peer: InstanceId, *, heard: int | None, asks: bool, now: float
     ) -> None:
-        """Notes a message from a member.
+        """Records a message from a member.
 
         Args:
-          peer: Who sent it.
-          heard: Number of the last message that it had from here; 0 if none, None if
-            its release does not tell: such a link cannot be judged.
-          asks: Whether it asks for an answer.
-          now: Seconds on this member's clock.
+          peer: The sender.
+          heard: Number of the last message that the sender has received from this
+            instance; 0 if none, None if its release does not send acknowledgements:
+            such a link is not checked.
+          asks: Whether the sender requests an acknowledgement.
+          now: Seconds on this instance's clock.
         """
-        now = self._counted(now)
+        now = self._adjusted(now)
         link = self._link(peer, now)
-        link.heard_at = now
-        link.owes = link.owes or asks
-        link.tells = heard is not None
+        link.last_received_at = now
+        link.owes_ack = link.owes_ack or asks
+        link.sends_acks = heard is not None
         if heard is None:
-            link.unheard, link.asked, link.unread = None, None, False
+            link.oldest_unacked, link.pending_request, link.has_loss = None, None, False
             link.silent_since, link.reopened = None, 0
             return
-        if link.unheard is None:
+        if link.oldest_unacked is None:
             return
-        if heard < link.unheard.number:
-            waited_s = now - link.unheard.at
-            link.unread = link.unread or waited_s > link.patience_s * _TO_READ
+        if heard < link.oldest_unacked.number:
+            waited_s = now - link.oldest_unacked.at
+            link.has_loss = (
+                link.has_loss or waited_s > link.ack_timeout_s * _LOSS_FRACTION
+            )
             return
-        self._note_heard(link, heard, now)
+        self._record_ack(link, heard, now)
         if link.silent_since is not None:
             silent_s = now - link.silent_since
-            self._mended.append(Mended(peer, silent_s, link.reopened))
+            self._mended.append(RecoveredLink(peer, silent_s, link.reopened))
             link.silent_since, link.reopened = None, 0
 
-    def tick(self, now: float) -> Due:
-        """Returns what is to be done now."""
-        self._now, self._ticked_at = self._counted(now), now
+    def tick(self, now: float) -> DueActions:
+        """Checks all links."""
+        self._now, self._ticked_at = self._adjusted(now), now
         now = self._now
-        due = Due(mended=self._mended)
+        due = DueActions(mended=self._mended)
         self._mended = []
         for peer, link in list(self._links.items()):
-            if now - link.sent_at > IDLE_S:
+            if now - link.last_sent_at > IDLE_LINK_EXPIRY_S:
                 del self._links[peer]
             elif self._is_silent(link, now):
-                due.silent.append(self._fell_silent(peer, link, now))
-            elif self._must_ask(link, now):
+                due.silent.append(self._mark_silent(peer, link, now))
+            elif self._needs_ack_request(link, now):
                 due.questions.append(peer)
-            elif link.owes:
+            elif link.owes_ack:
                 due.answers.append(peer)
         return due
 
-    def _counted(self, now: float) -> float:
-        """Returns the time, without that in which this member could not look."""
+    def _adjusted(self, now: float) -> float:
+        """Returns the time on the adjusted clock."""
         if self._ticked_at is None:
             return self._now
-        return self._now + min(now - self._ticked_at, _LONGEST_TICK_S)
+        return self._now + min(now - self._ticked_at, _MAX_CLOCK_STEP_S)
 
     def _link(self, peer: InstanceId, now: float) -> _Link:
         if peer not in self._links:
-            self._links[peer] = _Link(sent_at=now, heard_at=now)
+            self._links[peer] = _Link(last_sent_at=now, last_received_at=now)
         return self._links[peer]
 
-    def _must_ask(self, link: _Link, now: float) -> bool:
-        """Returns whether to ask after what has been sent."""
-        if link.unheard is None or link.asked is not None:
+    def _needs_ack_request(self, link: _Link, now: float) -> bool:
+        """Returns whether an acknowledgement must be requested."""
+        if link.oldest_unacked is None or link.pending_request is not None:
             return False
-        if link.news < link.unheard.number:
+        if link.last_sent < link.oldest_unacked.number:
             return False
-        is_urgent = link.urgent >= link.unheard.number
-        if not is_urgent and now - link.heard_at <= QUIET_S:
+        is_urgent = link.last_urgent >= link.oldest_unacked.number
+        if not is_urgent and now - link.last_received_at <= ROUTINE_ACK_DELAY_S:
             return False
-        pause_s = max(ASK_PAUSE_S, len(self._links) / ASKS_PER_S)
-        return now - link.asked_last >= pause_s
+        interval_s = max(
+            ACK_REQUEST_INTERVAL_S, len(self._links) / MAX_ACK_REQUESTS_PER_S
+        )
+        return now - link.last_request_at >= interval_s
 
     def _is_silent(self, link: _Link, now: float) -> bool:
-        asked = link.asked
-        late = asked is not None and now - asked.at > link.patience_s
-        return late or link.unread
-
-    def _note_heard(self, link: _Link, heard: int, now: float) -> None:
-        """Takes what arrived; an answer's time tells how long to wait for the next."""
-        if link.asked is not None and heard >= link.asked.number:
-            patience_s = _PATIENCE_OF_ANSWER * (now - link.asked.at)
-            patience_s = max(ANSWER_WITHIN_S, patience_s)
-            link.patience_s = min(patience_s, LONGEST_PATIENCE_S)
-            link.asked = None
-        link.unread = False
-        link.unheard = None
-        if heard < link.news:
-            link.unheard = link.asked or _Sent(link.news, now)
-
-    def _fell_silent(self, peer: InstanceId, link: _Link, now: float) -> Silent:
-        sent = link.asked or link.unheard
-        sent_at = now if sent is None else sent.at
-        way = Way.THERE if link.heard_at > sent_at else Way.EITHER
+        pending_request = link.pending_request
+        has_timed_out = (
+            pending_request is not None
+            and now - pending_request.at > link.ack_timeout_s
+        )
+        return has_timed_out or link.has_loss
+
+    def _record_ack(self, link: _Link, heard: int, now: float) -> None:
+        """Records an acknowledgement and adapts the timeout to its round-trip time."""
+        if link.pending_request is not None and heard >= link.pending_request.number:
+            ack_timeout_s = _ACK_TIMEOUT_FACTOR * (now - link.pending_request.at)
+            ack_timeout_s = max(ACK_TIMEOUT_S, ack_timeout_s)
+            link.ack_timeout_s = min(ack_timeout_s, MAX_ACK_TIMEOUT_S)
+            link.pending_request = None
+        link.has_loss = False
+        link.oldest_unacked = None
+        if heard < link.last_sent:
+            link.oldest_unacked = link.pending_request or _SentMessage(
+                link.last_sent, now
+            )
+
+    def _mark_silent(self, peer: InstanceId, link: _Link, now: float) -> Silent:
+        sent = link.pending_request or link.oldest_unacked
+        last_sent_at = now if sent is None else sent.at
+        way = Way.THERE if link.last_received_at > last_sent_at else Way.EITHER
         if link.silent_since is None:
-            link.silent_since = sent_at
+            link.silent_since = last_sent_at
         found = Silent(peer, way, now - link.silent_since, link.reopened)
         link.reopened += 1
-        link.patience_s = min(2 * link.patience_s, LONGEST_PATIENCE_S)
-        # What was sent is lost; the first message on the new link asks at once.
-        link.unheard, link.asked, link.unread = None, None, False
-        link.asked_last = float("-inf")
+        link.ack_timeout_s = min(2 * link.ack_timeout_s, MAX_ACK_TIMEOUT_S)
+        # These messages are lost. The next one requests an acknowledgement at once.
+        link.oldest_unacked, link.pending_request, link.has_loss = None, None, False
+        link.last_request_at = float("-inf")
         return found
