--- a/src/coppercleat/membership/_links.py
+++ b/src/coppercleat/membership/_links.py
@@ -15,8 +15,8 @@
 from coppercleat.membership._envelope import MAX_MESSAGE_BYTES
 
 _MAX_LINKS = 96
-_SEND_BUFFER = 64
-_RECEIVE_BUFFER = 256
+_SEND_BUFFER_MESSAGES = 64
+_RECEIVE_BUFFER_MESSAGES = 256
 _MAX_RECEIVE_BATCH = 32
 """Messages read without waiting before other tasks may run."""
 
@@ -46,7 +46,7 @@
         )
         self._pull = pynng.Pull0(
             listen=f"tcp://{listen}",
-            recv_buffer_size=_RECEIVE_BUFFER,
+            recv_buffer_size=_RECEIVE_BUFFER_MESSAGES,
             recv_max_size=MAX_MESSAGE_BYTES,
         )
 
@@ -107,7 +107,7 @@
         link = self._links.get(address)
         if link is None:
             link = pynng.Push0(
-                send_buffer_size=_SEND_BUFFER,
+                send_buffer_size=_SEND_BUFFER_MESSAGES,
                 reconnect_time_min=_RECONNECT_MIN_MS,
                 reconnect_time_max=_RECONNECT_MAX_MS,
             )
--- a/src/coppercleat/membership/_messenger.py
+++ b/src/coppercleat/membership/_messenger.py
@@ -148,7 +148,7 @@
         sender = opened.sender
         if sender == self.detector.own.instance:
             return
-        # Higher numbers acknowledge messages of an earlier incarnation.
+        # A number not yet used acknowledges a message of an earlier incarnation.
         heard = opened.heard
         if heard is not None and heard > self._writer.number:
             heard = 0
--- a/src/coppercleat/membership/_silent_links.py
+++ b/src/coppercleat/membership/_silent_links.py
@@ -29,10 +29,10 @@
 rate of connections to a member that is suspended."""
 
 _ACK_TIMEOUT_FACTOR = 2.0
-"""The timeout is at least this many times the last round-trip time."""
+"""The timeout is this many times the last round-trip time, within its limits."""
 
 _LOSS_FRACTION = 0.5
-"""A message has been lost if one that arrives later than this fraction of the timeout
+"""A message is lost if another one that arrives later than this fraction of the timeout
 does not acknowledge it."""
 
 ACK_REQUEST_INTERVAL_S = 0.2
@@ -79,7 +79,7 @@
     Attributes:
       peer: The member at its other end.
       way: Direction in which messages are lost.
-      unacked_s: Seconds since the first message without an acknowledgement.
+      unacked_s: Seconds for which an acknowledgement has been missing.
       reopened: Times that it was reopened before without an acknowledgement.
     """
 
@@ -95,7 +95,7 @@
 
     Attributes:
       peer: The member at its other end.
-      silent_s: Seconds from the first message without an acknowledgement until then.
+      silent_s: Seconds for which an acknowledgement was missing.
       reopened: Times that it was reopened.
     """
 
@@ -127,7 +127,7 @@
 
     Attributes:
       number: Its envelope's number.
-      at: Seconds on the adjusted clock at which it was sent.
+      at: Seconds on the adjusted clock from which its acknowledgement is awaited.
     """
 
     number: int
@@ -146,12 +146,12 @@
       oldest_unacked: The first message sent that has not been acknowledged.
       pending_request: The message that requested an acknowledgement, until it arrives.
       last_request_at: When an acknowledgement was last requested.
-      has_loss: Whether a later message of the member did not acknowledge
-        ``oldest_unacked``.
+      has_loss: Whether a message from the member should have acknowledged
+        ``oldest_unacked`` and did not.
       owes_ack: Whether the member has requested an acknowledgement.
       ack_timeout_s: Timeout of a requested acknowledgement.
-      silent_since: When the first message without an acknowledgement was sent; None if
-        the link is not silent.
+      silent_since: Since when an acknowledgement is missing; None if the link is not
+        silent.
       reopened: Times that the link was reopened since then.
       sends_acks: Whether the member's release sends acknowledgements.
     """
@@ -322,14 +322,14 @@
 
     def _mark_silent(self, peer: InstanceId, link: _Link, now: float) -> Silent:
         sent = link.pending_request or link.oldest_unacked
-        last_sent_at = now if sent is None else sent.at
-        way = Way.THERE if link.last_received_at > last_sent_at else Way.EITHER
+        unacked_since = now if sent is None else sent.at
+        way = Way.THERE if link.last_received_at > unacked_since else Way.EITHER
         if link.silent_since is None:
-            link.silent_since = last_sent_at
-        found = Silent(peer, way, now - link.silent_since, link.reopened)
+            link.silent_since = unacked_since
+        silent_link = Silent(peer, way, now - link.silent_since, link.reopened)
         link.reopened += 1
         link.ack_timeout_s = min(2 * link.ack_timeout_s, MAX_ACK_TIMEOUT_S)
         # These messages are lost. The next one requests an acknowledgement at once.
         link.oldest_unacked, link.pending_request, link.has_loss = None, None, False
         link.last_request_at = float("-inf")
-        return found
+        return silent_link
