--- a/src/coppercleat/membership/_envelope.py
+++ b/src/coppercleat/membership/_envelope.py
@@ -147,5 +147,5 @@
         return Opened(sealed.sender, sealed.message, sealed.heard, sealed.asks)
 
     def forget(self, sender: InstanceId) -> None:
-        """Drops what is kept of a member long dead."""
+        """Forgets the last envelope of a removed member."""
         self._latest.pop(sender, None)
