--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -27,7 +27,7 @@
     Heartbeat,
     MemberLine,
     OnlineArrivals,
-    Opened,
+    OpenedMessage,
 )
 from coppercleat.routing import (
     RoutingRequest,
@@ -106,7 +106,7 @@
         def observe(d: Detector = detector, data: bytes = sealed) -> None:
             reader = EnvelopeReader(keys=[_KEY])
             opened = reader.open(data)
-            assert isinstance(opened, Opened)
+            assert isinstance(opened, OpenedMessage)
             d.observe(opened.message, 0.0)
 
         opens.append((members, _microseconds(observe)))
--- a/src/coppercleat/gateway/_gateway.py
+++ b/src/coppercleat/gateway/_gateway.py
@@ -303,7 +303,7 @@
         metrics.route_version.set({}, self.watch.version)
         metrics.peers.set({}, len(self.peers.live_peers()))
         metrics.links_reopened.set({}, self.peers.messenger.links.reopened)
-        metrics.links_mended.set({}, self.peers.messenger.mended)
+        metrics.links_mended.set({}, self.peers.messenger.recovered)
         metrics.links_silent.set({}, len(self.peers.messenger.watch.silent()))
         metrics.peers_silent.set({}, self.peers.expired_counts)
         for reason, count in self.peers.dropped.counts.items():
--- a/src/coppercleat/instance/_peers.py
+++ b/src/coppercleat/instance/_peers.py
@@ -23,8 +23,8 @@
     Messenger,
     NodesKnown,
     OnlineArrivals,
-    Silent,
-    UpstreamLeaving,
+    SilentLink,
+    UpstreamDraining,
 )
 from coppercleat.observability import Metrics, part_logger
 from coppercleat.quarantine import CrashDetector, CrashReport, CrashUpdate, Fingerprint
@@ -75,7 +75,7 @@
             keys=settings.peers.keys,
             receiver=self,
             handlers=_handlers,
-            on_garbage=lambda reason: metrics.garbage.inc({"reason": reason}),
+            on_rejected=lambda reason: metrics.garbage.inc({"reason": reason}),
             on_reopened=self._tell_again,
         )
         self.crash_detector: CrashDetector[UpstreamRecord] | None = None
@@ -136,7 +136,7 @@
 
     def send_all(self, message: Message) -> None:
         """Sends to some members of each zone, who pass it on if it is news."""
-        for instance in self.detector.audience():
+        for instance in self.detector.gossip_targets():
             self.messenger.send(instance, message)
 
     def spread_changes(self, changes: list[Change]) -> None:
@@ -146,7 +146,7 @@
 
     def spread_leaving(self, upstream: UpstreamId) -> None:
         """Spreads that an upstream is leaving."""
-        self.send_all(UpstreamLeaving(upstream))
+        self.send_all(UpstreamDraining(upstream))
 
     def spread_ends(
         self, ends: tuple[CrashReport, ...], cleared: tuple[Fingerprint, ...]
@@ -206,7 +206,7 @@
         for feeder, of_feeder in feeders.items():
             self.messenger.send(feeder, OnlineArrivals(tuple(of_feeder)))
 
-    def _tell_again(self, silent: Silent) -> None:
+    def _tell_again(self, silent: SilentLink) -> None:
         """Tells all that was told before to whom it may not have reached."""
         told = list(self._told.items())
         if len(self.detector.members) > _TELL_ALL_ARRIVALS:
@@ -257,8 +257,8 @@
             self.fleet.note_online(upstream)
             self.on_arrivals(upstream)
 
-    @_handlers.handles(UpstreamLeaving)
-    def _on_leaving(self, sender: InstanceId, message: UpstreamLeaving) -> None:
+    @_handlers.handles(UpstreamDraining)
+    def _on_leaving(self, sender: InstanceId, message: UpstreamDraining) -> None:
         if self.fleet.table.mark_draining(message.upstream):
             self.spread_leaving(message.upstream)
 
--- a/src/coppercleat/membership/__init__.py
+++ b/src/coppercleat/membership/__init__.py
@@ -5,8 +5,8 @@
     MAX_MESSAGE_BYTES,
     EnvelopeReader,
     EnvelopeWriter,
-    Garbage,
-    Opened,
+    OpenedMessage,
+    RejectedMessage,
 )
 from coppercleat.membership._handlers import HandlerRegistry
 from coppercleat.membership._links import Links
@@ -22,10 +22,15 @@
     Message,
     NodesKnown,
     OnlineArrivals,
-    UpstreamLeaving,
+    UpstreamDraining,
 )
 from coppercleat.membership._messenger import Messenger
-from coppercleat.membership._silent_links import Kind, LinkWatch, Silent, Way
+from coppercleat.membership._silent_links import (
+    FailedDirection,
+    LinkWatch,
+    MessageKind,
+    SilentLink,
+)
 
 __all__ = [
     "MAX_ARRIVALS",
@@ -36,22 +41,22 @@
     "Detector",
     "EnvelopeReader",
     "EnvelopeWriter",
-    "Garbage",
+    "FailedDirection",
     "HandlerRegistry",
     "Heartbeat",
     "JobHint",
-    "Kind",
     "LinkCheck",
     "LinkWatch",
     "Links",
     "Member",
     "MemberLine",
     "Message",
+    "MessageKind",
     "Messenger",
     "NodesKnown",
     "OnlineArrivals",
-    "Opened",
-    "Silent",
-    "UpstreamLeaving",
-    "Way",
+    "OpenedMessage",
+    "RejectedMessage",
+    "SilentLink",
+    "UpstreamDraining",
 ]
--- a/src/coppercleat/membership/_detector.py
+++ b/src/coppercleat/membership/_detector.py
@@ -154,7 +154,7 @@
             self.own, self._relayed_members(now)
         ), self._heartbeat_targets()
 
-    def audience(self) -> list[InstanceId]:
+    def gossip_targets(self) -> list[InstanceId]:
         """Returns the members to send an update to that each receiver forwards once.
 
         These are all members of a small fleet, else a random sample. Forwarding then
--- a/src/coppercleat/membership/_envelope.py
+++ b/src/coppercleat/membership/_envelope.py
@@ -31,20 +31,20 @@
 
     Attributes:
       number: Number of this envelope; increases within the incarnation.
-      heard: Number of the last envelope received from the receiver; 0 if none, None if
-        the sender's release does not send acknowledgements.
-      asks: Whether the sender requests an acknowledgement.
+      ack_number: Number of the last envelope received from the receiver; 0 if none,
+        None if the sender's release does not send acknowledgements.
+      wants_ack: Whether the sender requests an acknowledgement.
     """
 
     sender: InstanceId
     incarnation: int
     number: int
     message: _M
-    heard: int | None = None
-    asks: bool = False
+    ack_number: int | None = None
+    wants_ack: bool = False
 
 
-class Garbage(msgspec.Struct, frozen=True):
+class RejectedMessage(msgspec.Struct, frozen=True):
     """Result for bytes that are not a valid, fresh message from a member.
 
     Attributes:
@@ -54,18 +54,18 @@
     reason: str
 
 
-class Opened(msgspec.Struct, frozen=True):
+class OpenedMessage(msgspec.Struct, frozen=True):
     """An authenticated message that is not a replay.
 
     Attributes:
-      heard: As in ``_Envelope``.
-      asks: Whether the sender requests an acknowledgement.
+      ack_number: As in ``_Envelope``.
+      wants_ack: Whether the sender requests an acknowledgement.
     """
 
     sender: InstanceId
     message: Any
-    heard: int | None
-    asks: bool
+    ack_number: int | None
+    wants_ack: bool
 
 
 def _mac(key: bytes, payload: bytes) -> bytes:
@@ -93,18 +93,25 @@
         self._encoder = msgspec.msgpack.Encoder()
 
     def seal(
-        self, message: msgspec.Struct, *, heard: int = 0, asks: bool = False
+        self, message: msgspec.Struct, *, ack_number: int = 0, wants_ack: bool = False
     ) -> bytes:
         """Returns the bytes of the next envelope.
 
         Args:
           message: Its content.
-          heard: Number of the last envelope received from the receiver; 0 if none.
-          asks: Whether to request an acknowledgement.
+          ack_number: Number of the last envelope received from the receiver; 0 if none.
+          wants_ack: Whether to request an acknowledgement.
         """
         self.number += 1
         payload = self._encoder.encode(
-            _Envelope(self.sender, self.incarnation, self.number, message, heard, asks)
+            _Envelope(
+                self.sender,
+                self.incarnation,
+                self.number,
+                message,
+                ack_number,
+                wants_ack,
+            )
         )
         return _FORMAT + _mac(self._key, payload) + payload
 
@@ -123,28 +130,30 @@
         self._latest: dict[InstanceId, tuple[int, int]] = {}
         self._decoder = msgspec.msgpack.Decoder(_Envelope[messages])
 
-    def heard(self, sender: InstanceId) -> int:
+    def ack_number(self, sender: InstanceId) -> int:
         """Returns the number of the last envelope of a member; 0 if there was none."""
         return self._latest.get(sender, (0, 0))[1]
 
-    def open(self, data: bytes) -> Opened | Garbage:
+    def open(self, data: bytes) -> OpenedMessage | RejectedMessage:
         """Returns the message, or the reason why the bytes are rejected."""
         if len(data) > MAX_MESSAGE_BYTES:
-            return Garbage("too_long")
+            return RejectedMessage("too_long")
         if data[:1] != _FORMAT:
-            return Garbage("unknown_format")
+            return RejectedMessage("unknown_format")
         mac, payload = data[1:_HEADER_BYTES], data[_HEADER_BYTES:]
         if not any(hmac.compare_digest(mac, _mac(k, payload)) for k in self._keys):
-            return Garbage("wrong_key")
+            return RejectedMessage("wrong_key")
         try:
             sealed = self._decoder.decode(payload)
         except (msgspec.DecodeError, msgspec.ValidationError):
-            return Garbage("does_not_fit")
+            return RejectedMessage("does_not_fit")
         position = (sealed.incarnation, sealed.number)
         if position <= self._latest.get(sealed.sender, (0, 0)):
-            return Garbage("replayed")
+            return RejectedMessage("replayed")
         self._latest[sealed.sender] = position
-        return Opened(sealed.sender, sealed.message, sealed.heard, sealed.asks)
+        return OpenedMessage(
+            sealed.sender, sealed.message, sealed.ack_number, sealed.wants_ack
+        )
 
     def forget(self, sender: InstanceId) -> None:
         """Forgets the last envelope of a removed member."""
--- a/src/coppercleat/membership/_messages.py
+++ b/src/coppercleat/membership/_messages.py
@@ -92,7 +92,7 @@
     ]
 
 
-class UpstreamLeaving(Struct, frozen=True, tag="leaving", array_like=True):
+class UpstreamDraining(Struct, frozen=True, tag="leaving", array_like=True):
     """An upstream has announced that it is draining."""
 
     upstream: UpstreamId
@@ -112,7 +112,7 @@
     | ConfigurationSnapshot
     | NodesKnown
     | OnlineArrivals
-    | UpstreamLeaving
+    | UpstreamDraining
     | JobHint
     | CrashUpdate
 )
--- a/src/coppercleat/membership/_messenger.py
+++ b/src/coppercleat/membership/_messenger.py
@@ -10,16 +10,20 @@
 
 from coppercleat.ids import InstanceId, Revision
 from coppercleat.membership._detector import Detector
-from coppercleat.membership._envelope import EnvelopeReader, EnvelopeWriter, Garbage
+from coppercleat.membership._envelope import (
+    EnvelopeReader,
+    EnvelopeWriter,
+    RejectedMessage,
+)
 from coppercleat.membership._handlers import HandlerRegistry
 from coppercleat.membership._links import Links
 from coppercleat.membership._messages import Heartbeat, LinkCheck, Message
 from coppercleat.membership._silent_links import (
     CHECK_INTERVAL_S,
-    Kind,
     LinkWatch,
+    MessageKind,
     RecoveredLink,
-    Silent,
+    SilentLink,
 )
 from coppercleat.observability import part_logger
 
@@ -33,7 +37,7 @@
       detector: Failure detector; has the members' addresses.
       links: Sockets to the other members.
       watch: Detects silent links.
-      mended: Times that an acknowledgement arrived on a silent link.
+      recovered: Times that an acknowledgement arrived on a silent link.
       on_reopened: Called with each silent link after it is reopened. Messages on it may
         be lost, so the callee should send the current state again.
     """
@@ -48,8 +52,8 @@
         receiver: Any,
         handlers: HandlerRegistry,
         messages: Any = Message,
-        on_garbage: Callable[[str], None],
-        on_reopened: Callable[[Silent], None],
+        on_rejected: Callable[[str], None],
+        on_reopened: Callable[[SilentLink], None],
     ) -> None:
         """Opens the listening socket.
 
@@ -61,19 +65,19 @@
           receiver: First argument of the message handlers.
           handlers: Message handlers by message type.
           messages: Union of the accepted message types.
-          on_garbage: Called with the reason when a message is rejected.
+          on_rejected: Called with the reason when a message is rejected.
           on_reopened: See the attribute.
         """
         self.detector = detector
         self.links = Links(listen)
         self.watch = LinkWatch()
-        self.mended = 0
+        self.recovered = 0
         self.on_reopened = on_reopened
         self._listen = listen
         self._seeds = seeds
         self._receiver = receiver
         self._handlers = handlers
-        self._on_garbage = on_garbage
+        self._on_rejected = on_rejected
         self._reader = EnvelopeReader(keys=keys, messages=messages)
         self._writer = EnvelopeWriter(
             detector.own.instance, detector.own.incarnation, key=keys[0]
@@ -93,19 +97,23 @@
         heartbeat, targets = self.detector.tick(now, revision=revision)
         self._writer.incarnation = self.detector.own.incarnation
         for instance in targets:
-            self.send(instance, heartbeat, kind=Kind.ROUTINE)
+            self.send(instance, heartbeat, kind=MessageKind.ROUTINE)
         if not self.detector.alive(now)[1:]:
             self._send_to_seeds(heartbeat)
         if self.detector.paused:
             _log.warning("This process was suspended.")
 
-    def greet(self, instances: Collection[InstanceId]) -> None:
+    def announce_self(self, instances: Collection[InstanceId]) -> None:
         """Sends this instance's state at once, before their turn in the heartbeats."""
         for instance in instances:
             self.send(instance, Heartbeat(self.detector.own, ()))
 
     def send(
-        self, instance: InstanceId, message: msgspec.Struct, *, kind: Kind = Kind.NEWS
+        self,
+        instance: InstanceId,
+        message: msgspec.Struct,
+        *,
+        kind: MessageKind = MessageKind.NEWS,
     ) -> None:
         """Sends to a member without blocking; does nothing for an unknown member."""
         member = self.detector.members.get(instance)
@@ -113,9 +121,9 @@
             return
         number = self._writer.number + 1
         now = trio.current_time()
-        asks = self.watch.sent(instance, number, now=now, kind=kind)
-        heard = self._reader.heard(instance)
-        sealed = self._writer.seal(message, heard=heard, asks=asks)
+        wants_ack = self.watch.sent(instance, number, now=now, kind=kind)
+        ack_number = self._reader.ack_number(instance)
+        sealed = self._writer.seal(message, ack_number=ack_number, wants_ack=wants_ack)
         self.links.send(member.address, sealed)
 
     def _send_to_seeds(self, heartbeat: Heartbeat) -> None:
@@ -132,33 +140,35 @@
         due = self.watch.tick(now)
         for silent in due.silent:
             self._reopen(silent)
-        for mended in due.mended:
-            self._record_recovery(mended)
-        for instance in due.questions:
+        for recovered in due.recovered:
+            self._record_recovery(recovered)
+        for instance in due.ack_requests:
             self.send(instance, LinkCheck())
-        for instance in due.answers:
-            self.send(instance, LinkCheck(), kind=Kind.ANSWER)
+        for instance in due.acks:
+            self.send(instance, LinkCheck(), kind=MessageKind.ANSWER)
 
     async def receive(self, data: bytes) -> None:
         """Handles the bytes of one envelope."""
         opened = self._reader.open(data)
-        if isinstance(opened, Garbage):
-            self._on_garbage(opened.reason)
+        if isinstance(opened, RejectedMessage):
+            self._on_rejected(opened.reason)
             return
         sender = opened.sender
         if sender == self.detector.own.instance:
             return
         # A number not yet used acknowledges a message of an earlier incarnation.
-        heard = opened.heard
-        if heard is not None and heard > self._writer.number:
-            heard = 0
+        ack_number = opened.ack_number
+        if ack_number is not None and ack_number > self._writer.number:
+            ack_number = 0
         now = trio.current_time()
-        self.watch.received(sender, heard=heard, asks=opened.asks, now=now)
+        self.watch.received(
+            sender, ack_number=ack_number, wants_ack=opened.wants_ack, now=now
+        )
         if not isinstance(opened.message, LinkCheck):
             self._handlers.dispatch(self._receiver, sender, opened.message)
         self.detector.observe_message(sender, now)
 
-    def _reopen(self, silent: Silent) -> None:
+    def _reopen(self, silent: SilentLink) -> None:
         member = self.detector.members.get(silent.peer)
         if member is None:
             return
@@ -173,11 +183,11 @@
         )
         self.on_reopened(silent)
 
-    def _record_recovery(self, mended: RecoveredLink) -> None:
-        self.mended += 1
+    def _record_recovery(self, recovered: RecoveredLink) -> None:
+        self.recovered += 1
         _log.info(
             "A silent link recovered.",
-            peer=mended.peer,
-            silent_s=round(mended.silent_s, 2),
-            reopened=mended.reopened,
+            peer=recovered.peer,
+            silent_s=round(recovered.silent_s, 2),
+            reopened=recovered.reopened,
         )
--- a/src/coppercleat/membership/_silent_links.py
+++ b/src/coppercleat/membership/_silent_links.py
@@ -49,7 +49,7 @@
 """A link is no longer checked after this time without a message sent on it."""
 
 
-class Kind(enum.Enum):
+class MessageKind(enum.Enum):
     """How soon the acknowledgement of a message is needed."""
 
     NEWS = "news"
@@ -62,7 +62,7 @@
     """Never: the message is an acknowledgement itself."""
 
 
-class Way(enum.Enum):
+class FailedDirection(enum.Enum):
     """Direction in which messages are lost, as far as one end can tell."""
 
     THERE = "there"
@@ -73,7 +73,7 @@
 
 
 @attrs.frozen
-class Silent:
+class SilentLink:
     """A link that must be reopened.
 
     Attributes:
@@ -84,7 +84,7 @@
     """
 
     peer: InstanceId
-    way: Way
+    way: FailedDirection
     unacked_s: float
     reopened: int
 
@@ -110,15 +110,15 @@
 
     Attributes:
       silent: Links to reopen.
-      mended: Links that have recovered since the last check.
-      questions: Members to request an acknowledgement from.
-      answers: Members to send an acknowledgement to.
+      recovered: Links that have recovered since the last check.
+      ack_requests: Members to request an acknowledgement from.
+      acks: Members to send an acknowledgement to.
     """
 
-    silent: list[Silent] = attrs.field(factory=list)
-    mended: list[RecoveredLink] = attrs.field(factory=list)
-    questions: list[InstanceId] = attrs.field(factory=list)
-    answers: list[InstanceId] = attrs.field(factory=list)
+    silent: list[SilentLink] = attrs.field(factory=list)
+    recovered: list[RecoveredLink] = attrs.field(factory=list)
+    ack_requests: list[InstanceId] = attrs.field(factory=list)
+    acks: list[InstanceId] = attrs.field(factory=list)
 
 
 @attrs.frozen
@@ -182,7 +182,7 @@
         self._links: dict[InstanceId, _Link] = {}
         self._now = 0.0
         self._ticked_at: float | None = None
-        self._mended: list[RecoveredLink] = []
+        self._recovered: list[RecoveredLink] = []
 
     def silent(self) -> list[InstanceId]:
         """Returns the members whose links are silent and have not recovered."""
@@ -190,7 +190,12 @@
         return [peer for peer, link in links if link.silent_since is not None]
 
     def sent(
-        self, peer: InstanceId, number: int, *, now: float, kind: Kind = Kind.NEWS
+        self,
+        peer: InstanceId,
+        number: int,
+        *,
+        now: float,
+        kind: MessageKind = MessageKind.NEWS,
     ) -> bool:
         """Records a message to a member.
 
@@ -210,10 +215,10 @@
             return False
         sent = _SentMessage(number, now)
         link.oldest_unacked = link.oldest_unacked or sent
-        if kind is Kind.ANSWER:
+        if kind is MessageKind.ANSWER:
             return False
         link.last_sent = number
-        if kind is Kind.NEWS:
+        if kind is MessageKind.NEWS:
             link.last_urgent = number
         if not self._needs_ack_request(link, now):
             return False
@@ -221,56 +226,56 @@
         return True
 
     def received(
-        self, peer: InstanceId, *, heard: int | None, asks: bool, now: float
+        self, peer: InstanceId, *, ack_number: int | None, wants_ack: bool, now: float
     ) -> None:
         """Records a message from a member.
 
         Args:
           peer: The sender.
-          heard: Number of the last message that the sender has received from this
+          ack_number: Number of the last message that the sender has received from this
             instance; 0 if none, None if its release does not send acknowledgements:
             such a link is not checked.
-          asks: Whether the sender requests an acknowledgement.
+          wants_ack: Whether the sender requests an acknowledgement.
           now: Seconds on this instance's clock.
         """
         now = self._adjusted(now)
         link = self._link(peer, now)
         link.last_received_at = now
-        link.owes_ack = link.owes_ack or asks
-        link.sends_acks = heard is not None
-        if heard is None:
+        link.owes_ack = link.owes_ack or wants_ack
+        link.sends_acks = ack_number is not None
+        if ack_number is None:
             link.oldest_unacked, link.pending_request, link.has_loss = None, None, False
             link.silent_since, link.reopened = None, 0
             return
         if link.oldest_unacked is None:
             return
-        if heard < link.oldest_unacked.number:
+        if ack_number < link.oldest_unacked.number:
             waited_s = now - link.oldest_unacked.at
             link.has_loss = (
                 link.has_loss or waited_s > link.ack_timeout_s * _LOSS_FRACTION
             )
             return
-        self._record_ack(link, heard, now)
+        self._record_ack(link, ack_number, now)
         if link.silent_since is not None:
             silent_s = now - link.silent_since
-            self._mended.append(RecoveredLink(peer, silent_s, link.reopened))
+            self._recovered.append(RecoveredLink(peer, silent_s, link.reopened))
             link.silent_since, link.reopened = None, 0
 
     def tick(self, now: float) -> DueActions:
         """Checks all links."""
         self._now, self._ticked_at = self._adjusted(now), now
         now = self._now
-        due = DueActions(mended=self._mended)
-        self._mended = []
+        due = DueActions(recovered=self._recovered)
+        self._recovered = []
         for peer, link in list(self._links.items()):
             if now - link.last_sent_at > IDLE_LINK_EXPIRY_S:
                 del self._links[peer]
             elif self._is_silent(link, now):
                 due.silent.append(self._mark_silent(peer, link, now))
             elif self._needs_ack_request(link, now):
-                due.questions.append(peer)
+                due.ack_requests.append(peer)
             elif link.owes_ack:
-                due.answers.append(peer)
+                due.acks.append(peer)
         return due
 
     def _adjusted(self, now: float) -> float:
@@ -306,27 +311,34 @@
         )
         return has_timed_out or link.has_loss
 
-    def _record_ack(self, link: _Link, heard: int, now: float) -> None:
+    def _record_ack(self, link: _Link, ack_number: int, now: float) -> None:
         """Records an acknowledgement and adapts the timeout to its round-trip time."""
-        if link.pending_request is not None and heard >= link.pending_request.number:
+        if (
+            link.pending_request is not None
+            and ack_number >= link.pending_request.number
+        ):
             ack_timeout_s = _ACK_TIMEOUT_FACTOR * (now - link.pending_request.at)
             ack_timeout_s = max(ACK_TIMEOUT_S, ack_timeout_s)
             link.ack_timeout_s = min(ack_timeout_s, MAX_ACK_TIMEOUT_S)
             link.pending_request = None
         link.has_loss = False
         link.oldest_unacked = None
-        if heard < link.last_sent:
+        if ack_number < link.last_sent:
             link.oldest_unacked = link.pending_request or _SentMessage(
                 link.last_sent, now
             )
 
-    def _mark_silent(self, peer: InstanceId, link: _Link, now: float) -> Silent:
+    def _mark_silent(self, peer: InstanceId, link: _Link, now: float) -> SilentLink:
         sent = link.pending_request or link.oldest_unacked
         unacked_since = now if sent is None else sent.at
-        way = Way.THERE if link.last_received_at > unacked_since else Way.EITHER
+        way = (
+            FailedDirection.THERE
+            if link.last_received_at > unacked_since
+            else FailedDirection.EITHER
+        )
         if link.silent_since is None:
             link.silent_since = unacked_since
-        silent_link = Silent(peer, way, now - link.silent_since, link.reopened)
+        silent_link = SilentLink(peer, way, now - link.silent_since, link.reopened)
         link.reopened += 1
         link.ack_timeout_s = min(2 * link.ack_timeout_s, MAX_ACK_TIMEOUT_S)
         # These messages are lost. The next one requests an acknowledgement at once.
--- a/src/coppercleat/serving/_dropped_messages.py
+++ b/src/coppercleat/serving/_dropped_messages.py
@@ -31,7 +31,7 @@
         """Counts a dropped message.
 
         Args:
-          reason: ``Garbage.reason`` of the message.
+          reason: ``RejectedMessage.reason`` of the message.
         """
         self.counts[reason] += 1
         _log.debug("Message dropped.", reason=reason)
--- a/src/coppercleat/serving/_peers.py
+++ b/src/coppercleat/serving/_peers.py
@@ -11,14 +11,14 @@
 from coppercleat.ids import InstanceId, JobId, Revision, UpstreamId, ZoneId
 from coppercleat.membership import (
     Detector,
+    FailedDirection,
     HandlerRegistry,
     Heartbeat,
-    Kind,
     LinkCheck,
     MemberLine,
+    MessageKind,
     Messenger,
-    Silent,
-    Way,
+    SilentLink,
 )
 from coppercleat.observability import part_logger
 from coppercleat.quarantine import CrashReport, CrashUpdate, Fingerprint
@@ -247,7 +247,7 @@
             receiver=self,
             handlers=_handlers,
             messages=_Messages,
-            on_garbage=self.dropped.record,
+            on_rejected=self.dropped.record,
             on_reopened=self._on_link_reopened,
         )
         self.expired_counts = 0
@@ -309,7 +309,7 @@
     def _gossip_crashes(self, seen: CrashUpdate) -> None:
         recipients = self.live_peers()
         if len(recipients) > _FULL_MESH_MAX_PEERS:
-            recipients = self.detector.audience()
+            recipients = self.detector.gossip_targets()
         for instance in recipients:
             self.messenger.send(instance, seen)
 
@@ -323,7 +323,7 @@
         known = set(self.detector.members)
         self.detector.observe_list(members, now)
         new = set(self.detector.members) - known
-        self.messenger.greet(self._counts_recipients(list(new)))
+        self.messenger.announce_self(self._counts_recipients(list(new)))
 
     def live_peers(self) -> list[InstanceId]:
         """Returns the other instances with recent heartbeats."""
@@ -432,12 +432,14 @@
         self.placement.demand.forget(zone)
         self._zone_counts_at.pop(zone, None)
 
-    def _on_link_reopened(self, silent: Silent) -> None:
+    def _on_link_reopened(self, silent: SilentLink) -> None:
         """Sends everything again to a peer whose link was broken.
 
         Its queued work is dropped if its messages may have been lost as well.
         """
-        if silent.way is Way.EITHER and self.placement.peer_queues.forget(silent.peer):
+        if silent.way is FailedDirection.EITHER and self.placement.peer_queues.forget(
+            silent.peer
+        ):
             self.on_counts_changed()
         self._send_crash_reports(silent.peer)
         if silent.peer in self._counts_recipients(self.live_peers()):
@@ -496,7 +498,11 @@
             self._last_sent_counts,
             (work.counts, work.waiting),
         )
-        kind = Kind.ROUTINE if previous == self._last_sent_counts else Kind.NEWS
+        kind = (
+            MessageKind.ROUTINE
+            if previous == self._last_sent_counts
+            else MessageKind.NEWS
+        )
         for instance in instances:
             self.messenger.send(instance, work, kind=kind)
 
@@ -555,7 +561,7 @@
                 self.settings.zone, tuple(self.placement.own_zone_in_flight()), rates
             )
             for instance in set(live_peers) - set(recipients):
-                self.messenger.send(instance, zone_work, kind=Kind.ROUTINE)
+                self.messenger.send(instance, zone_work, kind=MessageKind.ROUTINE)
 
     def _counts_recipients(self, live_peers: list[InstanceId]) -> list[InstanceId]:
         """Returns the peers to which this instance sends its own counts."""
--- a/tests/features/steps/link_steps.py
+++ b/tests/features/steps/link_steps.py
@@ -13,8 +13,8 @@
     Detector,
     EnvelopeWriter,
     Heartbeat,
-    Kind,
     MemberLine,
+    MessageKind,
 )
 from coppercleat.observability import Metrics
 from coppercleat.routing import PeerOnlineCounts
@@ -295,13 +295,13 @@
 
     def __init__(self):
         self.links = SimulatedLinks("ab", on_reopened=self.tell)
-        self.kind = Kind.NEWS
+        self.kind = MessageKind.NEWS
         self.told = {}
         self.history = []
         self.links.on_message = self.hear
         self.known_at = {}
 
-    def tell(self, sender, receiver, *, kind=Kind.NEWS):
+    def tell(self, sender, receiver, *, kind=MessageKind.NEWS):
         news = self.told.get(sender)
         if news is not None:
             self.links.send(sender, receiver, news, kind=kind)
@@ -373,7 +373,7 @@
 def link_in_trouble(context, trouble, seconds, every, who):
     ends = context.ends = TwoEnds()
     if who.endswith("by routine"):
-        ends.kind = Kind.ROUTINE
+        ends.kind = MessageKind.ROUTINE
     who = "a" if who == "one end" else "ab"
     ends.run(5, news_every_s=every, who=who)
     assert not ends.links.reopened, ends.links.reopened
--- a/tests/features/steps/mixed_fleet_steps.py
+++ b/tests/features/steps/mixed_fleet_steps.py
@@ -35,10 +35,12 @@
             context.asked += watch.sent(PEER, number, now=now)
         if tick % 10 == 5:
             opened = reader.open(sealed_as_before(tick))
-            watch.received(PEER, heard=opened.heard, asks=opened.asks, now=now)
+            watch.received(
+                PEER, ack_number=opened.ack_number, wants_ack=opened.wants_ack, now=now
+            )
         due = watch.tick(now)
         context.reopened += len(due.silent)
-        for peer in due.questions:
+        for peer in due.ack_requests:
             number += 1
             context.asked += watch.sent(peer, number, now=now)
 
--- a/tests/harness/_links.py
+++ b/tests/harness/_links.py
@@ -7,7 +7,7 @@
 import trio
 
 from coppercleat.ids import InstanceId, UpstreamId, ZoneId
-from coppercleat.membership import Kind, LinkWatch
+from coppercleat.membership import LinkWatch, MessageKind
 from coppercleat.serving import GatewayPeers, GatewaySettings, Placement, Upstream
 from tests.harness._processes import free_port
 
@@ -133,7 +133,7 @@
 
     watch: LinkWatch = attrs.field(factory=LinkWatch)
     number: int = 0
-    heard: dict = attrs.field(factory=dict)
+    ack_number: dict = attrs.field(factory=dict)
     stopped: bool = False
     inbox: list = attrs.field(factory=list)
 
@@ -145,7 +145,7 @@
       silent: Links, as pairs of sender and receiver, that lose what is sent until they
         are opened anew; those of ``cut`` also then.
       reopened: Links opened anew: when, and which.
-      mended: Links that were answered again: when, and which.
+      recovered: Links that were answered again: when, and which.
     """
 
     STEPS_A_TICK = 10
@@ -156,7 +156,7 @@
         self.on_message = on_message or (lambda sender, receiver, message: None)
         self.on_reopened = on_reopened or (lambda sender, receiver: None)
         self.silent, self.cut = set(), set()
-        self.reopened, self.mended = [], []
+        self.reopened, self.recovered = [], []
         self.delay_s = {}
         self.sent = 0
         self._steps = 0
@@ -166,14 +166,14 @@
     def now(self):
         return self._steps * self.step_s
 
-    def send(self, sender, receiver, message, *, kind=Kind.NEWS):
+    def send(self, sender, receiver, message, *, kind=MessageKind.NEWS):
         end = self.ends[sender]
         end.number += 1
         self.sent += 1
-        asks = end.watch.sent(receiver, end.number, now=self.now, kind=kind)
+        wants_ack = end.watch.sent(receiver, end.number, now=self.now, kind=kind)
         if (sender, receiver) in self.silent | self.cut:
             return
-        sealed = sender, end.number, end.heard.get(receiver, 0), asks, message
+        sealed = sender, end.number, end.ack_number.get(receiver, 0), wants_ack, message
         arrives_at = self.now + self.delay_s.get((sender, receiver), 0.0)
         self._on_the_way.append((arrives_at, receiver, sealed))
 
@@ -194,11 +194,13 @@
 
     def _read(self, name, end):
         inbox, end.inbox = end.inbox, []
-        for sender, number, heard, asks, message in inbox:
-            if number <= end.heard.get(sender, 0):
+        for sender, number, ack_number, wants_ack, message in inbox:
+            if number <= end.ack_number.get(sender, 0):
                 continue
-            end.heard[sender] = number
-            end.watch.received(sender, heard=heard, asks=asks, now=self.now)
+            end.ack_number[sender] = number
+            end.watch.received(
+                sender, ack_number=ack_number, wants_ack=wants_ack, now=self.now
+            )
             if message is not None:
                 self.on_message(sender, name, message)
 
@@ -208,8 +210,10 @@
             self.silent.discard((name, silent.peer))
             self.reopened.append((self.now, (name, silent.peer)))
             self.on_reopened(name, silent.peer)
-        self.mended += [(self.now, (name, mended.peer)) for mended in due.mended]
-        for peer in due.questions:
+        self.recovered += [
+            (self.now, (name, recovered.peer)) for recovered in due.recovered
+        ]
+        for peer in due.ack_requests:
             self.send(name, peer, None)
-        for peer in due.answers:
-            self.send(name, peer, None, kind=Kind.ANSWER)
+        for peer in due.acks:
+            self.send(name, peer, None, kind=MessageKind.ANSWER)
