--- a/src/coppercleat/jobs/_items.py
+++ b/src/coppercleat/jobs/_items.py
@@ -9,7 +9,7 @@
 import trio
 
 from coppercleat.ids import InstanceId, UpstreamId
-from coppercleat.jobs._item_quarantine import ItemQuarantine
+from coppercleat.jobs._item_bar import ItemQuarantine
 from coppercleat.jobs._pace import ItemDurationEstimator
 from coppercleat.jobs._run import ItemAttemptOutcome, ItemProgress, JobRun
 from coppercleat.observability import part_logger
