--- a/tests/features/steps/quarantine_decision_steps.py
+++ b/tests/features/steps/quarantine_decision_steps.py
@@ -261,11 +261,11 @@
     ),
     "attempts in flight": (lambda s: setattr(s, "online", 3), lambda s: s.online == 3),
     "untracked requests": (
-        lambda s: setattr(s, "unknown", 3),
+        lambda s: setattr(s, "untracked", 3),
         lambda s: s.untracked == 3,
     ),
     "abandoned attempts": (
-        lambda s: setattr(s, "unheard", 3),
+        lambda s: setattr(s, "abandoned", 3),
         lambda s: s.abandoned == 3,
     ),
     "a full queue": (
