--- a/src/coppercleat/quarantine/_end_watch.py
+++ b/src/coppercleat/quarantine/_end_watch.py
@@ -46,7 +46,7 @@
 UPDATE_REPEAT_S = 0.5
 UPDATE_REPEATS = 2
 """Interval and number of repetitions of an update, in case messages are lost until a
-stalled link is reopened. Later, the periodic message repeats them."""
+silent link is reopened. Later, the periodic message repeats them."""
 
 _MAX_LOGGED_CRASHES = 6
 """Limit of crashes in one log line; the last ones are logged."""
--- a/src/coppercleat/serving/_forwarding.py
+++ b/src/coppercleat/serving/_forwarding.py
@@ -108,7 +108,7 @@
           admission: Assigns slots to requests.
           caller: Sends requests to upstreams.
           on_end: Called with the summary of each request.
-          abandoned_attempts: Records abandoned runs; None for a new one.
+          abandoned_attempts: Records abandoned attempts; None for a new one.
           crash_detector: Detects requests under which upstreams crash; None for a new
             one.
         """
